--- a/crates/claims/src/page.rs
+++ b/crates/claims/src/page.rs
@@ -105,7 +105,7 @@
             match self.write(next).await {
                 Ok(Swap::Done(_)) => return self.verdicts(wishes),
                 // A page is bound to no lease.
-                Ok(Swap::Conflict(_) | Swap::NoLease | Swap::OtherEra) => {
+                Ok(Swap::Conflict(_) | Swap::LeaseExpired | Swap::EraChanged) => {
                     metrics::counter!("tidepier_claim_conflicts_total").increment(1);
                     self.known = false;
                 }
--- a/crates/core/src/answer.rs
+++ b/crates/core/src/answer.rs
@@ -36,7 +36,7 @@
 impl Answer {
     /// For how long the server wants nothing from who asked it. Only a 503 says that
     /// of the server; what a 429 or an error of its own asks for is the request's.
-    pub fn rest(&self) -> Option<Duration> {
+    pub fn requested_backoff(&self) -> Option<Duration> {
         let asked = self.retry_after.filter(|time| !time.is_zero());
         asked.filter(|_| self.status == TURNED_AWAY)
     }
--- a/crates/core/src/catalog.rs
+++ b/crates/core/src/catalog.rs
@@ -52,7 +52,7 @@
     /// A request may run any number of times.
     Repeatable,
     /// A request may run at most once.
-    Once,
+    AtMostOnce,
     /// The answer is a series of events. May run at most once unless the route
     /// is resumable.
     Stream {
@@ -67,7 +67,7 @@
     pub fn repeatable(self) -> bool {
         match self {
             Kind::Repeatable => true,
-            Kind::Once => false,
+            Kind::AtMostOnce => false,
             Kind::Stream { resumable } => resumable,
         }
     }
@@ -106,11 +106,11 @@
     /// share parts are better served by the same server.
     pub affinity: bool,
     /// The regions whose servers may run its requests; `None`: all.
-    pub homes: Option<Homes>,
+    pub allowed_regions: Option<AllowedRegions>,
 }
 
 /// Regions that requests may not leave.
-pub type Homes = Arc<[ids::Region]>;
+pub type AllowedRegions = Arc<[ids::Region]>;
 
 /// A service's share of a route.
 #[derive(Debug, Clone)]
@@ -188,5 +188,5 @@
     /// Rank; 0 is the most urgent. Goes before the rank of a route.
     pub priority: u8,
     /// The regions whose servers may run its requests; `None`: all.
-    pub homes: Option<Homes>,
+    pub allowed_regions: Option<AllowedRegions>,
 }
--- a/crates/core/src/era.rs
+++ b/crates/core/src/era.rs
@@ -10,7 +10,7 @@
 //! * Two revisions are ordered by their eras first. The number of a revision says
 //!   nothing beside one of another era, and [`Revision`] gives it away for the store's
 //!   own calls and for messages alone.
-//! * No answer of a former era is delivered once a later one was heard of ([`Eras`]).
+//! * No answer of a former era is delivered once a later one was heard of ([`Tracker`]).
 
 use std::cell::Cell;
 use std::fmt;
@@ -74,7 +74,7 @@
 /// Why an answer of a store is not delivered: it is of a former era.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the store's answer is of era {era}, and {newest} was heard of")]
-pub struct Former {
+pub struct StaleEra {
     /// The answer's era.
     pub era: Era,
     /// The newest era.
@@ -83,11 +83,11 @@
 
 /// The newest era that any answer of a store told.
 #[derive(Debug, Default)]
-pub struct Eras {
+pub struct Tracker {
     newest: Cell<Era>,
 }
 
-impl Eras {
+impl Tracker {
     /// The newest era.
     pub fn newest(&self) -> Era {
         self.newest.get()
@@ -99,11 +99,11 @@
     /// # Errors
     ///
     /// A later era was heard of.
-    pub fn hear(&self, told: Option<Era>) -> Result<Era, Former> {
+    pub fn observe(&self, told: Option<Era>) -> Result<Era, StaleEra> {
         let newest = self.newest.get();
         let era = told.unwrap_or(newest);
         if era < newest {
-            return Err(Former { era, newest });
+            return Err(StaleEra { era, newest });
         }
         self.newest.set(era);
         Ok(era)
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -17,7 +17,7 @@
     /// API key, if one was sent.
     pub key: Option<Box<str>>,
     /// How long the client waits from the arrival of the head.
-    pub patience: Option<Duration>,
+    pub client_timeout: Option<Duration>,
     /// What is asked of a model, if anything.
     pub prompt: Option<Prompt>,
     /// The last event of a broken stream that the client has, when it resumes.
--- a/crates/core/src/server.rs
+++ b/crates/core/src/server.rs
@@ -21,9 +21,9 @@
 /// of a server differ in it; which of them is the later one is not told by it,
 /// since clocks may be set back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Birth(pub u64);
+pub struct StartTime(pub u64);
 
-impl fmt::Display for Birth {
+impl fmt::Display for StartTime {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
@@ -71,7 +71,7 @@
     /// Its id.
     pub id: ids::Server,
     /// When it started, where it tells that.
-    pub born: Option<Birth>,
+    pub born: Option<StartTime>,
     /// The service whose requests it runs.
     pub service: ids::Service,
     /// Where it listens. May be given to a server of another service later.
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -9,7 +9,7 @@
 //!
 //! * A call that failed says whether it may have been done: see [`Failure`].
 //!   What the store refused because of its contents is no failure: see
-//!   [`Swap`] and [`Kept`].
+//!   [`Swap`] and [`LeaseState`].
 //! * Nothing is repeated after an answer, a refusal or the end of the time. A
 //!   client that may send a call twice before that says so at its type.
 //! * What is read together is of one era of the store, and a watch goes on in its era
@@ -23,7 +23,7 @@
 use std::io;
 use std::time::Duration;
 
-use crate::era::Former;
+use crate::era::StaleEra;
 pub use crate::era::{Era, Revision};
 
 /// A lease: items that are bound to it go when it ends.
@@ -114,9 +114,9 @@
     Conflict(Current),
     /// The store went back to an older copy since the conditions were learned. They held
     /// by chance, if they did, and whatever was done was done under other conditions.
-    OtherEra,
+    EraChanged,
     /// Nothing was done: a lease is over.
-    NoLease,
+    LeaseExpired,
 }
 
 /// Items whose revisions were expected, as they are after a conflict.
@@ -125,7 +125,7 @@
     /// These; an absent one is not among them.
     Items(Vec<Item>),
     /// The store's answer does not say: they have to be read.
-    Untold,
+    NotReported,
 }
 
 /// A lease that was granted.
@@ -139,7 +139,7 @@
 
 /// What became of a renewal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kept {
+pub enum LeaseState {
     /// The lease runs so long from when the call reached the store.
     For(Duration),
     /// The lease is over.
@@ -163,7 +163,7 @@
     Restored,
     /// The answer is of a former era: it is over, and what it tells of no use.
     #[error(transparent)]
-    Former(#[from] Former),
+    StaleEra(#[from] StaleEra),
     /// Refused with another status; not done.
     #[error("the store refuses with status {0}")]
     Refused(u16),
@@ -187,7 +187,7 @@
             Failure::Unavailable => "unavailable",
             Failure::Compacted => "compacted",
             Failure::Restored => "restored",
-            Failure::Former(_) => "former_era",
+            Failure::StaleEra(_) => "former_era",
             Failure::Refused(_) => "refused",
             Failure::NotSent(_) => "not_sent",
             Failure::NoAnswer(_) => "no_answer",
@@ -258,7 +258,7 @@
     /// # Errors
     ///
     /// See [`Failure`].
-    async fn keep(&self, id: LeaseId, limit: Duration) -> Result<Kept, Failure>;
+    async fn renew(&self, id: LeaseId, limit: Duration) -> Result<LeaseState, Failure>;
 
     /// Ends a lease, and removes the items bound to it.
     ///
--- a/crates/core/src/work.rs
+++ b/crates/core/src/work.rs
@@ -33,12 +33,12 @@
     /// When its answer must be whole.
     pub deadline: Instant,
     /// Pauses after which its engine counts as stuck.
-    pub pauses: Pauses,
+    pub stall_timeouts: Timeouts,
 }
 
 /// Longest pauses of an engine that works.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Pauses {
+pub struct Timeouts {
     /// Before the first event.
     pub first: Duration,
     /// Between two events.
--- a/crates/placement/src/ask.rs
+++ b/crates/placement/src/ask.rs
@@ -55,8 +55,8 @@
 pub enum Verdict {
     /// A place.
     Granted(Grant),
-    /// The request waits; a verdict follows from [`Pool::release`] or
-    /// [`Pool::tick`].
+    /// The request waits; a verdict follows from `Pool::release` or
+    /// `Pool::tick`.
     Waits,
     /// Final refusal.
     Refused(Fault),
--- a/crates/relay-standin/src/server/work.rs
+++ b/crates/relay-standin/src/server/work.rs
@@ -184,7 +184,7 @@
         fields.extend(leaving);
         let busy = self.shared.desk.is_full();
         if busy || self.shared.lock().unwell || leaving.is_some() {
-            fields.extend(busy.then_some((names::NOT_RUN, "1")));
+            fields.extend(busy.then_some((names::NOT_EXECUTED, "1")));
             return front::answer(503, &fields, b"");
         }
         fields.push((names::LOAD, &load));
@@ -278,16 +278,18 @@
         self.run(at, |run| run.body = Some(body));
         let id = self.shared.settings.id.clone();
         if head.text(names::ATTEMPT).is_none() {
-            return self.refuse(at, 400, &[(names::NOT_RUN, "1")]).await;
+            return self.refuse(at, 400, &[(names::NOT_EXECUTED, "1")]).await;
         }
         if head.text(names::TARGET).is_some_and(|target| target != id) {
             return self.refuse(at, 421, &[(names::INSTANCE, &id)]).await;
         }
         match fault {
-            Some(Fault::Shed) => return self.refuse(at, 503, &[(names::NOT_RUN, "1")]).await,
+            Some(Fault::Shed) => return self.refuse(at, 503, &[(names::NOT_EXECUTED, "1")]).await,
             Some(Fault::Busy) => {
                 let retry = (names::RETRY_AFTER, RETRY_AFTER_S);
-                return self.refuse(at, 429, &[(names::NOT_RUN, "1"), retry]).await;
+                return self
+                    .refuse(at, 429, &[(names::NOT_EXECUTED, "1"), retry])
+                    .await;
             }
             Some(Fault::Reset) => {
                 self.end(at, Outcome::Refused(0));
@@ -297,7 +299,7 @@
         }
         let priority = number(head, names::PRIORITY).map_or(PRIORITY_USUAL, |told| told as u8);
         let Some(mut ticket) = self.shared.desk.ticket(priority) else {
-            return self.refuse(at, 503, &[(names::NOT_RUN, "1")]).await;
+            return self.refuse(at, 503, &[(names::NOT_EXECUTED, "1")]).await;
         };
         let arrived = self.run(at, |run| run.arrived);
         let deadline = number(head, names::DEADLINE).map(|ms| arrived + Duration::from_millis(ms));
@@ -306,7 +308,7 @@
                 self.end(at, Outcome::Refused(0));
                 return Ok(Next::Close);
             }
-            Some(false) => return self.refuse(at, 503, &[(names::NOT_RUN, "1")]).await,
+            Some(false) => return self.refuse(at, 503, &[(names::NOT_EXECUTED, "1")]).await,
             Some(true) => {
                 self.end(at, Outcome::Running);
                 self.ticket = Some(ticket);
--- a/crates/relay-standin/src/site.rs
+++ b/crates/relay-standin/src/site.rs
@@ -62,7 +62,7 @@
             "path_prefix": self.prefix,
             "type": match self.kind {
                 Kind::Repeatable => "idempotent",
-                Kind::Once => "non_idempotent",
+                Kind::AtMostOnce => "non_idempotent",
                 Kind::Stream { .. } => "streaming",
             },
             "timeout_ms": self.timeout.as_millis() as u64,
--- a/crates/relay-standin/tests/standin/server.rs
+++ b/crates/relay-standin/tests/standin/server.rs
@@ -297,7 +297,7 @@
         let report = first
             .call(&Call::new("GET", HOST, names::REPORT, "h"))
             .await;
-        let report = tidepier_platform::call::report(&report.body).unwrap();
+        let report = tidepier_platform::monitoring::report(&report.body).unwrap();
         assert_eq!((report.running, report.waiting), (0, 0));
     });
 }
--- a/crates/relay-standin/tests/standin/site.rs
+++ b/crates/relay-standin/tests/standin/site.rs
@@ -16,7 +16,7 @@
         let kind = Kind::Stream { resumable: true };
         let first = site.declare(&[
             Route::new("/a/", kind, "s1"),
-            Route::new("/b/", Kind::Once, "s1"),
+            Route::new("/b/", Kind::AtMostOnce, "s1"),
         ]);
         let server = site
             .server(Settings {
@@ -60,7 +60,7 @@
             split,
             ..Route::new("/a/", kind, "s1")
         };
-        site.declare(&[route, Route::new("/a/b/", Kind::Once, "s1")]);
+        site.declare(&[route, Route::new("/a/b/", Kind::AtMostOnce, "s1")]);
         let version = site.account("acme", &["k1", "k2"], 3);
         let value = site.store.value(names::CONFIG).unwrap();
         let catalog = catalog::decode(&value).unwrap();
@@ -70,7 +70,10 @@
             (found.kind, found.split.len(), found.attempts),
             (kind, 2, 2)
         );
-        assert_eq!(catalog.route(HOST, "/a/b/x").unwrap().kind, Kind::Once);
+        assert_eq!(
+            catalog.route(HOST, "/a/b/x").unwrap().kind,
+            Kind::AtMostOnce
+        );
         assert_eq!(catalog.services.len(), 2);
         assert_eq!(catalog.account("k2").unwrap().priority, 3);
         let server = site.server(Settings::default()).unwrap();
--- a/crates/relay-standin/tests/standin/store.rs
+++ b/crates/relay-standin/tests/standin/store.rs
@@ -213,16 +213,16 @@
         assert_eq!((listed.value.len(), listed.revision.number()), (3, 3));
         assert_eq!(store.calls("kv-range"), 2);
         assert!(client.get("my/x", limit).await.unwrap().value.is_none());
-        let kept = client.keep(lease.id, limit).await.unwrap();
-        assert_eq!(kept, core::Kept::For(ms(1_000)));
+        let kept = client.renew(lease.id, limit).await.unwrap();
+        assert_eq!(kept, core::LeaseState::For(ms(1_000)));
         client.end(lease.id, limit).await.unwrap();
         let mut watch = client.watch(Scope::Prefix("my/"), listed.revision);
         let seen = watch.next(limit).await.unwrap();
         assert_eq!((seen.value.len(), seen.revision.number()), (3, 4));
         assert!(matches!(seen.value[0], core::Event::Delete { .. }));
         assert_eq!(
-            client.keep(lease.id, limit).await.unwrap(),
-            core::Kept::Gone
+            client.renew(lease.id, limit).await.unwrap(),
+            core::LeaseState::Gone
         );
         store.faults(|faults| faults.refuse = true);
         let refused = client.get("my/a", limit).await;
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -2,7 +2,7 @@
 //!
 //! Invariants:
 //!
-//! * [`Ran::No`] is said only where no byte of the request left this box, or
+//! * [`Executed::No`] is said only where no byte of the request left this box, or
 //!   where the server itself states that it did not run.
 //! * An answer is returned only if it names the attempt that was sent, and a
 //!   success only if the server signed it.
@@ -18,8 +18,8 @@
 use tidepier_h1::{Body, Conn, Framing, Head, Malformed, Unread};
 use tidepier_platform::answer;
 
-use crate::fleet::word::Withheld;
-use crate::fleet::{Backend, Fleet, Permit, Running};
+use crate::fleet::advertisement::Ineligible;
+use crate::fleet::{Backend, Fleet, InFlight, Permit};
 use crate::timeout;
 
 /// Longest time to open a connection to a server: over ten round trips
@@ -37,7 +37,7 @@
 
 /// Whether a request that failed has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ran {
+pub enum Executed {
     /// It has not and never will.
     No,
     /// It may have, or may yet.
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub enum Cause {
     /// The server takes nothing new, as was learned while a connection was opened.
-    Withheld(Withheld),
+    Withheld(Ineligible),
     /// No connection.
     Connect(io::Error),
     /// The connection broke off before an answer's head.
@@ -56,7 +56,7 @@
     /// No answer in time.
     Late,
     /// The answer names no attempt, or others only.
-    Foreign,
+    WrongAttempt,
     /// A success that the server did not sign.
     Unsigned,
     /// The answer's body broke off.
@@ -72,7 +72,7 @@
 impl Cause {
     /// Whether the server may have ended while it ran the request: the connection
     /// broke off or went silent.
-    pub fn may_be_end(&self) -> bool {
+    pub fn may_be_crash(&self) -> bool {
         match self {
             Cause::Lost(Malformed::BrokenOff | Malformed::Lost(_)) | Cause::Stalled => true,
             Cause::Broken(error) => error.kind() != io::ErrorKind::InvalidData,
@@ -87,7 +87,7 @@
             Cause::Connect(_) => "connect",
             Cause::Lost(_) => "lost",
             Cause::Late => "late",
-            Cause::Foreign => "foreign",
+            Cause::WrongAttempt => "foreign",
             Cause::Unsigned => "unsigned",
             Cause::Broken(_) => "broken",
             Cause::Stalled => "stalled",
@@ -104,7 +104,7 @@
             Cause::Connect(error) => write!(f, "no connection: {error}"),
             Cause::Lost(error) => write!(f, "no answer: {error}"),
             Cause::Late => f.write_str("no answer in time"),
-            Cause::Foreign => f.write_str("the answer is not to this attempt"),
+            Cause::WrongAttempt => f.write_str("the answer is not to this attempt"),
             Cause::Unsigned => f.write_str("a success without a signature"),
             Cause::Broken(error) => write!(f, "the answer broke off: {error}"),
             Cause::Stalled => f.write_str("the server went silent"),
@@ -118,13 +118,13 @@
 #[derive(Debug)]
 pub struct Failure {
     /// Whether the request has run.
-    pub ran: Ran,
+    pub ran: Executed,
     /// Why.
     pub cause: Cause,
 }
 
 /// A request as it goes to one server.
-pub struct Sending<'a> {
+pub struct Dispatch<'a> {
     /// Head and body.
     pub bytes: &'a [u8],
     /// Its method.
@@ -134,11 +134,11 @@
     /// When it is given up.
     pub deadline: Instant,
     /// Longest rest of a kept connection that may carry it.
-    pub rest: Duration,
+    pub max_idle: Duration,
     /// Prompt tokens that the server has to read.
     pub prefill: u64,
     /// Called when there is a connection, before anything is sent.
-    pub connected: &'a dyn Fn(),
+    pub on_connected: &'a dyn Fn(),
     /// Is told what the server says of itself.
     pub fleet: &'a Fleet,
 }
@@ -158,7 +158,7 @@
     /// Whether the connection can carry another request after the body.
     pub reusable: bool,
     /// Keeps the request counted at its server.
-    pub running: Running,
+    pub running: InFlight,
 }
 
 /// Sends a request; waits for the head of its answer.
@@ -166,14 +166,14 @@
 /// # Errors
 ///
 /// There is no answer that can be passed on.
-pub async fn send(permit: &Permit, sending: &Sending<'_>) -> Result<Reply, Failure> {
+pub async fn send(permit: &Permit, sending: &Dispatch<'_>) -> Result<Reply, Failure> {
     let backend = permit.backend();
     let running = backend.run(sending.prefill);
     backend.health.sent(Instant::now());
     let mut conn = connection(backend, sending).await?;
     // An answer to another request may have brought the server's word meanwhile.
     permit.renewed(Instant::now()).map_err(not_sent)?;
-    (sending.connected)();
+    (sending.on_connected)();
     let exchanged = timeout::until(sending.deadline, exchange(&mut conn, sending)).await;
     let (own, whole) = exchanged.unwrap_or_else(|| Err(unknown(Cause::Late)))?;
     let Own {
@@ -184,11 +184,11 @@
     let framing = Framing::of_answer(&head, sending.method);
     let framing = framing.map_err(|error| unknown(Cause::Lost(error)))?;
     let reusable = whole && !answer.close && framing != Framing::UntilClose;
-    backend.hear();
+    backend.record_received();
     before
         .iter()
         .chain([&answer])
-        .for_each(|it| sending.fleet.told(backend, it, sending.attempt));
+        .for_each(|it| sending.fleet.observe_answer(backend, it, sending.attempt));
     if let Some(load) = answer.load {
         backend.record_load(load, Instant::now());
     }
@@ -203,32 +203,32 @@
     })
 }
 
-fn not_sent(why: Withheld) -> Failure {
+fn not_sent(why: Ineligible) -> Failure {
     Failure {
-        ran: Ran::No,
+        ran: Executed::No,
         cause: Cause::Withheld(why),
     }
 }
 
 fn unknown(cause: Cause) -> Failure {
-    let ran = Ran::Unknown;
+    let ran = Executed::Unknown;
     Failure { ran, cause }
 }
 
-async fn connection(backend: &Rc<Backend>, sending: &Sending<'_>) -> Result<Conn, Failure> {
-    if let Some(conn) = backend.connection(sending.rest) {
+async fn connection(backend: &Rc<Backend>, sending: &Dispatch<'_>) -> Result<Conn, Failure> {
+    if let Some(conn) = backend.connection(sending.max_idle) {
         return Ok(conn);
     }
     let left = sending.deadline.saturating_duration_since(Instant::now());
     let opened = open(backend, CONNECT_TIME.min(left)).await;
     opened.map_err(|error| Failure {
-        ran: Ran::No,
+        ran: Executed::No,
         cause: Cause::Connect(error),
     })
 }
 
 /// Whether a server takes a connection, which then rests for the next request.
-pub(crate) async fn is_there(backend: &Backend) -> bool {
+pub(crate) async fn accepts_connection(backend: &Backend) -> bool {
     match open(backend, CONNECT_TIME).await {
         Ok(conn) => {
             backend.keep(conn, None);
@@ -250,13 +250,13 @@
     metrics::counter!("tidepier_server_connections_total").increment(1);
     let start = Instant::now();
     let conn = Conn::open(backend.server.address, limit, UNACKED_TIME).await?;
-    backend.hall.opened(start.elapsed());
+    backend.hall.record_connect_time(start.elapsed());
     Ok(conn)
 }
 
 /// Writes the request and reads the head of its answer. An answer may come
 /// before the request is written; whether it was written whole is returned.
-async fn exchange(conn: &mut Conn, sending: &Sending<'_>) -> Result<(Own, bool), Failure> {
+async fn exchange(conn: &mut Conn, sending: &Dispatch<'_>) -> Result<(Own, bool), Failure> {
     let writer = conn.writer();
     let written = std::cell::Cell::new(false);
     let write = async {
@@ -276,7 +276,7 @@
     before: Vec<Answer>,
 }
 
-async fn read(conn: &mut Conn, sending: &Sending<'_>) -> Result<Own, Failure> {
+async fn read(conn: &mut Conn, sending: &Dispatch<'_>) -> Result<Own, Failure> {
     let mut before: Vec<Answer> = Vec::new();
     loop {
         let head = conn
@@ -299,7 +299,7 @@
                 metrics::counter!("tidepier_surplus_answers_total").increment(1);
                 skip(conn, &head, sending.method).await?;
             }
-            _ => return Err(unknown(Cause::Foreign)),
+            _ => return Err(unknown(Cause::WrongAttempt)),
         }
     }
 }
@@ -331,11 +331,11 @@
     let framing = Framing::of_answer(head, method);
     let framing = framing.map_err(|error| unknown(Cause::Lost(error)))?;
     if framing == Framing::UntilClose {
-        return Err(unknown(Cause::Foreign));
+        return Err(unknown(Cause::WrongAttempt));
     }
     let rest = Body::new(framing).rest(conn, None, SURPLUS_BYTES).await;
     rest.map_err(|error| match error {
         Unread::Broken(error) => unknown(Cause::Broken(error)),
-        Unread::TooLong(_) => unknown(Cause::Foreign),
+        Unread::TooLong(_) => unknown(Cause::WrongAttempt),
     })
 }
--- a/crates/relay/src/bin/tidepier-relay.rs
+++ b/crates/relay/src/bin/tidepier-relay.rs
@@ -7,7 +7,7 @@
 use clap::Parser;
 use log::LevelFilter;
 use tidepier_relay::settings::{self, Settings};
-use tidepier_relay::signal::Changes;
+use tidepier_relay::signal::Requests;
 
 /// Routes clients' requests to the servers of the fleet.
 #[derive(Parser)]
@@ -31,12 +31,12 @@
 
 /// Watches the settings from before they are read, so that no later change is
 /// missed.
-fn read(file: &Path) -> Result<(Settings, io::Result<Changes>), settings::Error> {
-    let changes = Changes::watch(file);
+fn read(file: &Path) -> Result<(Settings, io::Result<Requests>), settings::Error> {
+    let changes = Requests::watch(file);
     Ok((settings::read(file)?, changes))
 }
 
-fn run(settings: Settings, changes: Changes, level: LevelFilter) -> eyre::Result<()> {
+fn run(settings: Settings, changes: Requests, level: LevelFilter) -> eyre::Result<()> {
     let queue = tidepier_relay::log::init(level)?;
     log_start(&settings);
     let outcome = smol::block_on(tidepier_relay::run(settings, changes));
--- a/crates/relay/src/budget.rs
+++ b/crates/relay/src/budget.rs
@@ -25,7 +25,7 @@
 
 /// The terms of the allowance.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Terms {
+pub struct Limits {
     /// Repeats allowed for each request.
     pub ratio: f64,
     /// Repeats allowed on top, over the whole fleet.
@@ -43,14 +43,14 @@
 
 /// Counts requests and repeats by service.
 pub struct Budget {
-    terms: Cell<Terms>,
+    terms: Cell<Limits>,
     start: Instant,
     parts: RefCell<HashMap<ids::Service, VecDeque<Part>>>,
 }
 
 impl Budget {
     /// A budget on these terms.
-    pub fn new(terms: Terms) -> Self {
+    pub fn new(terms: Limits) -> Self {
         Self {
             terms: Cell::new(terms),
             start: Instant::now(),
@@ -59,7 +59,7 @@
     }
 
     /// Changes the terms; what was counted stays.
-    pub fn set_terms(&self, terms: Terms) {
+    pub fn set_limits(&self, terms: Limits) {
         self.terms.set(terms);
     }
 
--- a/crates/relay/src/choose.rs
+++ b/crates/relay/src/choose.rs
@@ -18,7 +18,7 @@
 use tidepier_ids as ids;
 
 use crate::fleet::{Backend, Fleet};
-use crate::places::Places;
+use crate::locations::Locations;
 use crate::traffic::index::Index;
 use engine::{Engines, Group};
 use filter::Filter;
@@ -54,7 +54,7 @@
 const PLAIN_MS: f64 = 60.0;
 
 /// What is to be placed.
-pub struct Ask<'a> {
+pub struct Criteria<'a> {
     /// The prompt, at a model engine.
     pub prompt: Option<&'a Prompt>,
     /// Time in ms to copy a token's memory between engines, where they can.
@@ -66,7 +66,7 @@
     /// The hall of this box.
     pub hall: &'a ids::Hall,
     /// Whether an answer that breaks off midway is lost.
-    pub breaks: bool,
+    pub not_resumable: bool,
     /// Most connections of this box to one server.
     pub connections: u32,
     /// The operator's bound on one server's load, in multiples of the mean.
@@ -82,10 +82,10 @@
     /// Requests estimated to be at the server.
     pub load: f64,
     /// Tokens of the prompt that it is estimated to read.
-    pub read: f64,
+    pub prefill_tokens: f64,
     /// Time in which it may read the prompt, if it keeps no part that this box
     /// has not sent there: so much of its answer's delay is no slowness.
-    pub reading: Duration,
+    pub prefill_time: Duration,
     /// Its place in the order of the prompt's subject, if it is among the first.
     pub rank: Option<usize>,
     /// Present when the server is cold: from when on it bears the request. What is
@@ -100,7 +100,7 @@
 pub fn choose(
     fleet: &Fleet,
     service: &ids::Service,
-    ask: &Ask<'_>,
+    ask: &Criteria<'_>,
     index: &Index,
     now: Instant,
 ) -> Option<Choice> {
@@ -111,7 +111,7 @@
             let candidate = |backend: &Backend| {
                 !ask.tried.contains(&backend.server.id) && ask.filter.admits(backend, now)
             };
-            let places = Places::new(fleet, service, prompt, index, &candidate, now);
+            let places = Locations::new(fleet, service, prompt, index, &candidate, now);
             let group = Group {
                 serving: &servers,
                 emptied: &fleet.emptied(service),
@@ -132,15 +132,15 @@
 
 /// Whether a server may get the request, and this box may open one more
 /// connection to it.
-fn is_open(backend: &Backend, ask: &Ask<'_>, now: Instant) -> bool {
-    backend.own() < ask.connections && ask.filter.admits(backend, now)
+fn is_open(backend: &Backend, ask: &Criteria<'_>, now: Instant) -> bool {
+    backend.in_flight() < ask.connections && ask.filter.admits(backend, now)
 }
 
 /// The median time to an answer of a plain service's servers, in ms. It is reckoned with
 /// where none is known or the known one is old: a figure of its own would keep requests
 /// from a server that got none, for as long as the others have room.
 fn usual_ms(servers: &[Rc<Backend>]) -> f64 {
-    let times = servers.iter().filter_map(|it| it.health.time_ms());
+    let times = servers.iter().filter_map(|it| it.health.mean_latency_ms());
     let mut times: Vec<f64> = times.collect();
     times.sort_by(f64::total_cmp);
     let middle = times.len().saturating_sub(1) / 2;
@@ -150,12 +150,12 @@
 fn plain(
     backend: &Rc<Backend>,
     usual_ms: f64,
-    ask: &Ask<'_>,
+    ask: &Criteria<'_>,
     failing: f64,
     now: Instant,
 ) -> Choice {
-    let load = f64::from(backend.own());
-    let time = backend.health.expected_ms(usual_ms, now);
+    let load = f64::from(backend.in_flight());
+    let time = backend.health.expected_latency_ms(usual_ms, now);
     // Of equal costs, chance decides.
     let jitter = fastrand::f64();
     let cost = time * (load + 1.0) + jitter + common(backend, ask, failing, now);
@@ -163,8 +163,8 @@
         backend: backend.clone(),
         cost,
         load,
-        read: 0.0,
-        reading: Duration::ZERO,
+        prefill_tokens: 0.0,
+        prefill_time: Duration::ZERO,
         rank: None,
         cold: ask.filter.borne_from(backend, now),
         copy_from: None,
@@ -181,17 +181,17 @@
 }
 
 /// Costs that hold for every kind of server.
-fn common(backend: &Rc<Backend>, ask: &Ask<'_>, failing: f64, now: Instant) -> f64 {
+fn common(backend: &Rc<Backend>, ask: &Criteria<'_>, failing: f64, now: Instant) -> f64 {
     let excess = backend.health.failure_rate(now) - failing - FAILING_SLACK;
     let mut cost = FAILING_MS * excess.max(0.0);
-    cost += TURNED_MS * backend.health.turned_lately(now);
+    cost += TURNED_MS * backend.health.recent_rejections(now);
     if backend.server.hall != *ask.hall {
-        cost += backend.hall.way_ms().unwrap_or(OTHER_HALL_MS) + breaking(ask);
+        cost += backend.hall.round_trip_ms().unwrap_or(OTHER_HALL_MS) + breaking(ask);
     }
     if let Some(from) = ask.filter.borne_from(backend, now) {
         cost += COLD_MS + from.saturating_duration_since(now).as_secs_f64() * 1e3;
     }
-    if backend.hall.is_silent(now) {
+    if backend.hall.is_unresponsive(now) {
         cost += SILENT_HALL_MS;
     }
     if !backend.health.allows(now) {
@@ -204,10 +204,10 @@
 }
 
 /// What the risk costs that an answer from another hall breaks off, in ms.
-fn breaking(ask: &Ask<'_>) -> f64 {
+fn breaking(ask: &Criteria<'_>) -> f64 {
     let tokens = |prompt: &Prompt| prompt.hint.unwrap_or(prompt.output);
     match ask.prompt {
-        Some(prompt) if ask.breaks => BREAK_TOKEN_MS * f64::from(tokens(prompt)),
+        Some(prompt) if ask.not_resumable => BREAK_TOKEN_MS * f64::from(tokens(prompt)),
         _ => 0.0,
     }
 }
--- a/crates/relay/src/choose/engine.rs
+++ b/crates/relay/src/choose/engine.rs
@@ -10,9 +10,9 @@
 use tidepier_clock::Instant;
 use tidepier_core::request::Prompt;
 
-use super::{cheapest, common, is_open, weight, Ask, Choice, LEFT_OUT_MS};
+use super::{cheapest, common, is_open, weight, Choice, Criteria, LEFT_OUT_MS};
 use crate::fleet::Backend;
-use crate::places::Places;
+use crate::locations::Locations;
 
 /// The engines of a service.
 pub(super) struct Group<'a> {
@@ -26,8 +26,8 @@
 /// The engines of a service as one prompt finds them.
 pub(super) struct Engines<'a> {
     servers: &'a [Rc<Backend>],
-    ask: &'a Ask<'a>,
-    places: &'a Places<'a>,
+    ask: &'a Criteria<'a>,
+    places: &'a Locations<'a>,
     /// Tokens of the prompt that no other request shares.
     own: f64,
     /// Load of each server.
@@ -46,14 +46,14 @@
 const SAMPLE: usize = 2;
 
 /// Places of some engines that may be used.
-fn sample(servers: &[Rc<Backend>], ask: &Ask<'_>, now: Instant) -> Vec<usize> {
+fn sample(servers: &[Rc<Backend>], ask: &Criteria<'_>, now: Instant) -> Vec<usize> {
     let mut places = Vec::new();
     for _ in 0..4 * SAMPLE {
         let place = fastrand::usize(0..servers.len().max(1));
         let Some(backend) = servers.get(place) else {
             break;
         };
-        let usable = backend.is_usable(now) && is_open(backend, ask, now);
+        let usable = backend.is_healthy(now) && is_open(backend, ask, now);
         if usable && !places.contains(&place) {
             places.push(place);
         }
@@ -67,9 +67,9 @@
 impl<'a> Engines<'a> {
     pub(super) fn new(
         group: &Group<'a>,
-        ask: &'a Ask<'a>,
+        ask: &'a Criteria<'a>,
         prompt: &Prompt,
-        places: &'a Places<'a>,
+        places: &'a Locations<'a>,
         failing: f64,
         now: Instant,
     ) -> Self {
@@ -100,9 +100,9 @@
             None => self.cheapest_of(|_| true)?,
         };
         if self.ask.copy_ms.is_some() {
-            let source = self.places.source(choice.backend.key);
+            let source = self.places.copy_source(choice.backend.key);
             // What a request may not leave its regions for is not kept elsewhere.
-            let source = source.filter(|it| self.ask.filter.is_home(&it.server.hall));
+            let source = source.filter(|it| self.ask.filter.is_allowed_hall(&it.server.hall));
             choice.copy_from = source.cloned();
         }
         Some(choice)
@@ -126,7 +126,7 @@
 
     fn choice(&self, backend: &Rc<Backend>, load: f64) -> Choice {
         let key = backend.key;
-        let lack = self.places.lacking(key);
+        let lack = self.places.missing_tokens(key);
         let read_again = 1.0 / weight::READ_TOKENS_PER_MS + weight::READ_AGAIN_MS;
         let (shared, read) = match self.ask.copy_ms {
             Some(ms) => (
@@ -140,8 +140,8 @@
             cost: self.cost(shared, backend, load),
             load,
             rank: self.places.rank(key),
-            reading: reading_time(self.own + f64::from(lack.unproven)),
-            read: self.own + read,
+            prefill_time: reading_time(self.own + f64::from(lack.unconfirmed)),
+            prefill_tokens: self.own + read,
             cold: self.ask.filter.borne_from(backend, self.now),
             copy_from: None,
         }
@@ -196,7 +196,11 @@
 /// The load of each server, and the mean of those that can be reached. Where
 /// none was reported lately, the mean stands for it.
 fn loads(servers: &[Rc<Backend>], now: Instant) -> (Vec<f64>, f64) {
-    let counted = |backend: &Rc<Backend>| backend.counted(weight::COUNT_AGE, now).map(f64::from);
+    let counted = |backend: &Rc<Backend>| {
+        backend
+            .total_in_flight(weight::COUNT_AGE, now)
+            .map(f64::from)
+    };
     let reported: Vec<Option<f64>> = servers
         .iter()
         .map(|backend| backend.load(weight::LOAD_AGE).map(f64::from))
@@ -204,7 +208,7 @@
     let reached = servers
         .iter()
         .zip(&reported)
-        .filter(|(backend, _)| backend.is_usable(now));
+        .filter(|(backend, _)| backend.is_healthy(now));
     let known: Vec<f64> = reached.filter_map(|(_, reported)| *reported).collect();
     let mean = known.iter().sum::<f64>() / known.len().max(1) as f64;
     let or_mean = |(backend, reported): (&Rc<Backend>, Option<f64>)| {
@@ -212,7 +216,7 @@
             .into_iter()
             .chain(counted(backend))
             .reduce(f64::max);
-        known.unwrap_or_else(|| mean.max(f64::from(backend.own())))
+        known.unwrap_or_else(|| mean.max(f64::from(backend.in_flight())))
     };
     (servers.iter().zip(reported).map(or_mean).collect(), mean)
 }
@@ -222,9 +226,9 @@
 /// get little, so that nothing is known of many of them; without them the mean is that
 /// of the busy ones alone, half as much again where one hall of three is empty, and
 /// these could go as far over the operator's bound.
-fn mean_of_all(known: f64, group: &Group<'_>, ask: &Ask<'_>, now: Instant) -> f64 {
+fn mean_of_all(known: f64, group: &Group<'_>, ask: &Criteria<'_>, now: Instant) -> f64 {
     let (cold, busy): (Vec<_>, Vec<_>) = group.serving.iter().partition(|backend| {
-        let aside = backend.rests(now) || !ask.filter.is_aimed_at(backend);
+        let aside = backend.is_backing_off(now) || !ask.filter.matches_release(backend);
         aside || ask.filter.is_cold(backend, now)
     });
     let idle = cold.into_iter().chain(group.emptied);
@@ -239,7 +243,7 @@
 /// The load of an engine of which little is told: what is.
 fn least_load(backend: &Backend, now: Instant) -> f64 {
     let reported = backend.load(weight::LOAD_AGE);
-    let counted = backend.counted(weight::COUNT_AGE, now);
+    let counted = backend.total_in_flight(weight::COUNT_AGE, now);
     f64::from(reported.max(counted).unwrap_or(0))
 }
 
@@ -248,7 +252,7 @@
 fn usual_time(servers: &[Rc<Backend>], now: Instant) -> Option<f64> {
     let times = servers
         .iter()
-        .filter_map(|backend| backend.health.recent_ms(now));
+        .filter_map(|backend| backend.health.recent_latency_ms(now));
     let mut times: Vec<f64> = times.collect();
     times.sort_by(f64::total_cmp);
     times.get(times.len() / 2).copied()
@@ -256,7 +260,7 @@
 
 /// What a server's answers have lately taken beyond what is usual, in ms.
 fn slowness(backend: &Rc<Backend>, usual_ms: Option<f64>, now: Instant) -> f64 {
-    let times = backend.health.recent_ms(now).zip(usual_ms);
+    let times = backend.health.recent_latency_ms(now).zip(usual_ms);
     let excess = times.map_or(0.0, |(own, usual)| {
         own - weight::SLOW_FACTOR * usual - weight::SLOW_EXTRA_MS
     });
--- a/crates/relay/src/choose/filter.rs
+++ b/crates/relay/src/choose/filter.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use tidepier_clock::Instant;
-use tidepier_core::catalog::Homes;
+use tidepier_core::catalog::AllowedRegions;
 use tidepier_ids as ids;
 
 use crate::cold::{Limit, Roster};
 use crate::fleet::Backend;
-use crate::rollout::Aim;
+use crate::rollout::Selector;
 
 /// The region of each hall.
 pub type Regions = BTreeMap<ids::Hall, ids::Region>;
@@ -17,20 +17,20 @@
 /// Which servers of a service take a request of this box, as far as their being
 /// cold goes.
 #[derive(Clone, Copy)]
-pub struct Gate<'a> {
+pub struct Admission<'a> {
     /// The bound on each.
     pub limit: Limit,
     /// The boxes that share it.
     pub roster: &'a Roster,
     /// How long a request may wait for a cold server to bear it.
-    pub patience: Duration,
+    pub max_wait: Duration,
 }
 
-impl Gate<'_> {
+impl Admission<'_> {
     /// Whether a server is warm, or this box may send it one more request.
     pub fn admits(&self, backend: &Backend, now: Instant) -> bool {
         let at = self.next(backend, now);
-        at.is_some_and(|at| at <= now + self.patience)
+        at.is_some_and(|at| at <= now + self.max_wait)
     }
 
     /// When a server may get one more request of this box; `None`: not while it is
@@ -54,32 +54,33 @@
 #[derive(Clone, Copy, Default)]
 pub struct Filter<'a> {
     /// Regions that the request may not leave: its route's and its account's.
-    pub homes: [Option<&'a Homes>; 2],
+    pub allowed_regions: [Option<&'a AllowedRegions>; 2],
     /// The region of each hall; a hall that is missing is in none.
     pub regions: Option<&'a Regions>,
     /// Present where the service's servers may be cold.
-    pub gate: Option<Gate<'a>>,
+    pub gate: Option<Admission<'a>>,
     /// Present where the service is moved to another release.
-    pub aim: Option<&'a Aim>,
+    pub release_selector: Option<&'a Selector>,
 }
 
 impl Filter<'_> {
     /// Whether a server may get the request at `now`.
     pub fn admits(&self, backend: &Backend, now: Instant) -> bool {
-        self.is_aimed_at(backend)
-            && self.is_home(&backend.server.hall)
-            && !backend.rests(now)
-            && self.is_borne(backend, now)
+        self.matches_release(backend)
+            && self.is_allowed_hall(&backend.server.hall)
+            && !backend.is_backing_off(now)
+            && self.has_cold_capacity(backend, now)
     }
 
     /// Whether a server runs a release that the request may go to.
-    pub fn is_aimed_at(&self, backend: &Backend) -> bool {
-        self.aim.is_none_or(|aim| aim.admits(&backend.server))
+    pub fn matches_release(&self, backend: &Backend) -> bool {
+        self.release_selector
+            .is_none_or(|aim| aim.admits(&backend.server))
     }
 
     /// Whether a hall is in all regions that bind the request.
-    pub fn is_home(&self, hall: &ids::Hall) -> bool {
-        let mut homes = self.homes.iter().flatten().peekable();
+    pub fn is_allowed_hall(&self, hall: &ids::Hall) -> bool {
+        let mut homes = self.allowed_regions.iter().flatten().peekable();
         if homes.peek().is_none() {
             return true;
         }
@@ -88,7 +89,7 @@
     }
 
     /// Whether a server is warm or bears one more request of this box.
-    pub fn is_borne(&self, backend: &Backend, now: Instant) -> bool {
+    pub fn has_cold_capacity(&self, backend: &Backend, now: Instant) -> bool {
         self.gate.is_none_or(|gate| gate.admits(backend, now))
     }
 
--- a/crates/relay/src/callers.rs
+++ b/crates/relay/src/client_connections.rs
@@ -13,7 +13,7 @@
 use tidepier_h1::{Body, Conn, Framing, Head, Listener, Malformed, Writer};
 use tidepier_platform::request as wire_request;
 
-use crate::exchange::{self, Arrival, End};
+use crate::exchange::{self, Disposition, IncomingRequest};
 use crate::refusal;
 use crate::relay::Relay;
 use crate::stop::Phase;
@@ -36,7 +36,7 @@
 /// Accepts clients' connections until the stop no longer takes any.
 pub async fn accept(relay: Rc<Relay>, listener: Listener, executor: Rc<LocalExecutor<'static>>) {
     let closing = async {
-        relay.stop.reached(Phase::Closing).await;
+        relay.stop.wait_for_phase(Phase::Closing).await;
         None
     };
     let mut closing = std::pin::pin!(closing);
@@ -80,14 +80,14 @@
 async fn serve(relay: &Relay, mut conn: Conn) {
     let _open = relay.stop.connection();
     let writer = conn.writer();
-    while request(relay, &mut conn, &writer).await == End::Keep {}
+    while request(relay, &mut conn, &writer).await == Disposition::Keep {}
 }
 
 /// Serves one request of a connection.
-async fn request(relay: &Relay, conn: &mut Conn, writer: &Writer) -> End {
+async fn request(relay: &Relay, conn: &mut Conn, writer: &Writer) -> Disposition {
     let limits = limits(relay);
     if !first_byte(relay, conn, &limits).await {
-        return End::Close;
+        return Disposition::Close;
     }
     let _request = relay.stop.request();
     let head = match head(conn, &limits).await {
@@ -100,7 +100,7 @@
         Ok(read) => read,
         Err(unread) => return end_unread(conn, writer, unread).await,
     };
-    let arrival = Arrival {
+    let arrival = IncomingRequest {
         close: head.closes(),
         head: &head,
         body: &body,
@@ -109,13 +109,13 @@
     };
     let end = answer(relay, conn, &arrival, writer).await;
     match end {
-        End::Keep => {}
-        End::Close => {
+        Disposition::Keep => {}
+        Disposition::Close => {
             writer.finish();
             linger(conn).await;
         }
         // Ending this side first would tell the client that the answer is whole.
-        End::Reset => {
+        Disposition::Reset => {
             if let Err(error) = writer.reset_on_close() {
                 log::info!(target: "request", "event=already_closed why=\"{error}\"");
             }
@@ -125,7 +125,12 @@
 }
 
 /// Answers a request unless its client leaves before.
-async fn answer(relay: &Relay, conn: &mut Conn, arrival: &Arrival<'_>, writer: &Writer) -> End {
+async fn answer(
+    relay: &Relay,
+    conn: &mut Conn,
+    arrival: &IncomingRequest<'_>,
+    writer: &Writer,
+) -> Disposition {
     let answered = async { Some(exchange::run(relay, arrival, writer).await) };
     let left = async {
         left(conn).await;
@@ -141,7 +146,7 @@
             arrival.head.target(),
             arrival.at.elapsed().as_millis()
         );
-        End::Close
+        Disposition::Close
     })
 }
 
@@ -156,7 +161,7 @@
         return true;
     }
     let closing = async {
-        relay.stop.reached(Phase::Closing).await;
+        relay.stop.wait_for_phase(Phase::Closing).await;
         None
     };
     let read = async { Some(conn.fill().await) };
@@ -236,15 +241,15 @@
 }
 
 /// Ends the connection of a request that was not read whole.
-async fn end_unread(conn: &mut Conn, writer: &Writer, unread: Unread) -> End {
+async fn end_unread(conn: &mut Conn, writer: &Writer, unread: Unread) -> Disposition {
     match unread {
-        Unread::Gone => End::Close,
+        Unread::Gone => Disposition::Close,
         Unread::Refused(kind) => refuse_unread(conn, writer, kind).await,
     }
 }
 
 /// Refuses a request that was not read whole and ends the connection.
-async fn refuse_unread(conn: &mut Conn, writer: &Writer, kind: refusal::Kind) -> End {
+async fn refuse_unread(conn: &mut Conn, writer: &Writer, kind: refusal::Kind) -> Disposition {
     metrics::counter!("tidepier_refusals_total", "why" => kind.name()).increment(1);
     log::info!(target: "request", "event=turned_away why={kind} status={}", kind.status());
     let mut out = Vec::new();
@@ -260,7 +265,7 @@
         writer.finish();
         linger(conn).await;
     }
-    End::Close
+    Disposition::Close
 }
 
 /// Takes what the client still sends until it closes, for a short time.
--- a/crates/relay/src/cold.rs
+++ b/crates/relay/src/cold.rs
@@ -110,7 +110,7 @@
 
 impl Roster {
     /// Takes over a list of the boxes with their halls; `me` is this one.
-    pub fn list<'a>(
+    pub fn set_members<'a>(
         &self,
         me: &ids::Box,
         boxes: impl IntoIterator<Item = (&'a ids::Box, &'a ids::Hall)>,
@@ -135,19 +135,19 @@
     }
 
     /// Records that the other boxes list this one.
-    pub fn known(&self, now: Instant) {
+    pub fn set_listed(&self, now: Instant) {
         self.from.set(self.from.get().or(Some(now)));
     }
 
     /// Records that the other boxes do not list this one yet.
-    pub fn unknown(&self, now: Instant) {
+    pub fn set_unlisted(&self, now: Instant) {
         self.from.set(self.from.get().or(Some(now + KNOWN_TIME)));
     }
 
     /// Records that this box has no others beside it.
-    pub fn alone(&self, me: &ids::Box, hall: &ids::Hall, now: Instant) {
-        self.list(me, [(me, hall)], now);
-        self.known(now);
+    pub fn set_single(&self, me: &ids::Box, hall: &ids::Hall, now: Instant) {
+        self.set_members(me, [(me, hall)], now);
+        self.set_listed(now);
     }
 
     /// This box's share in a cold server of a hall; `None`: it is no sender.
@@ -185,9 +185,9 @@
 
 /// What this box sent lately to one server while it was cold.
 #[derive(Debug, Default)]
-pub struct Pace(RefCell<VecDeque<Instant>>);
+pub struct Window(RefCell<VecDeque<Instant>>);
 
-impl Pace {
+impl Window {
     /// When one more request is within `share`, from `now` on; `None`: never.
     pub fn next(&self, share: Share, now: Instant) -> Option<Instant> {
         let mut sent = self.0.borrow_mut();
@@ -205,7 +205,7 @@
 
     /// Records that a request recorded `at` is sent only `now`, once there is a
     /// connection.
-    pub fn delayed(&self, at: Instant, now: Instant) {
+    pub fn reschedule(&self, at: Instant, now: Instant) {
         let mut sent = self.0.borrow_mut();
         if let Some(found) = sent.iter().position(|other| *other == at) {
             sent[found] = now;
--- a/crates/relay/src/content.rs
+++ b/crates/relay/src/content.rs
@@ -13,7 +13,7 @@
 /// second, two different ones have the same one in a day with a likelihood of 1 in
 /// 100.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Content(u64);
+pub struct Fingerprint(u64);
 
 /// What makes up the content of a request.
 #[derive(Debug, Clone, Copy)]
@@ -30,7 +30,7 @@
     pub body: &'a [u8],
 }
 
-impl Content {
+impl Fingerprint {
     /// The content of a request.
     pub fn new(parts: &Parts<'_>) -> Self {
         let mut hash = Xxh3::new();
@@ -44,13 +44,13 @@
     }
 }
 
-impl fmt::Display for Content {
+impl fmt::Display for Fingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
 }
 
-impl FromStr for Content {
+impl FromStr for Fingerprint {
     type Err = std::num::ParseIntError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
--- a/crates/relay/src/crash/inquiry.rs
+++ b/crates/relay/src/crash/inquiry.rs
@@ -17,7 +17,7 @@
 use super::suspects::Suspect;
 use super::Crashes;
 use crate::attempt;
-use crate::content::Content;
+use crate::content::Fingerprint;
 use crate::fleet::Backend;
 
 /// Pauses before the looks at a server: a refusal comes with the first one, within a
@@ -53,8 +53,8 @@
 
 /// Records a server's end, under each content that broke off there.
 fn conclude(crashes: &Crashes, suspect: &Suspect) {
-    let distinct: HashSet<Content> = suspect.contents.iter().copied().collect();
-    let named = distinct.iter().take(NAMED).map(Content::to_string);
+    let distinct: HashSet<Fingerprint> = suspect.contents.iter().copied().collect();
+    let named = distinct.iter().take(NAMED).map(Fingerprint::to_string);
     log::info!(
         target: "request",
         "event=server_ended server={} requests={} contents={}",
--- a/crates/relay/src/crash/mod.rs
+++ b/crates/relay/src/crash/mod.rs
@@ -21,12 +21,12 @@
 use smol::Timer;
 use tidepier_clock::Instant;
 
-use crate::content::Content;
+use crate::content::Fingerprint;
 use crate::fleet::Key;
 use suspects::Suspects;
 use table::{Change, Row, Table};
 
-pub(crate) use inquiry::run as inquire;
+pub(crate) use inquiry::run as probe_suspects;
 
 /// Time between two looks at what is no longer needed.
 const LOOK_TIME: Duration = Duration::from_secs(5);
@@ -42,23 +42,23 @@
 
 impl Crashes {
     /// Records that a server ended under a content at `at`.
-    fn ended(&self, content: Content, server: Key, at: Instant) {
+    fn ended(&self, content: Fingerprint, server: Key, at: Instant) {
         tell(self.table.ended(content, server, at));
     }
 
     /// Records a whole success: such a request ends no server.
-    pub(crate) fn answered(&self, content: Content) {
+    pub(crate) fn answered(&self, content: Fingerprint) {
         tell(self.table.answered(content, Instant::now()));
     }
 
     /// Lets a content pass, by the operator's word.
-    pub(crate) fn pardon(&self, content: Content) {
+    pub(crate) fn pardon(&self, content: Fingerprint) {
         log::info!(target: "request", "event=content_pardoned content={content}");
         tell(self.table.clear(content, Instant::now()));
     }
 
     /// Takes over what another box told.
-    pub(crate) fn take(&self, rows: &[Row], now: Instant) {
+    pub(crate) fn merge_rows(&self, rows: &[Row], now: Instant) {
         tell(self.table.take(rows, now));
     }
 }
@@ -80,7 +80,7 @@
 
 /// Forgets what is no longer needed, and tells by metrics what is refused; does not
 /// end.
-pub(crate) async fn tidy(crashes: Rc<Crashes>) -> Infallible {
+pub(crate) async fn run_expiry(crashes: Rc<Crashes>) -> Infallible {
     loop {
         Timer::after(LOOK_TIME).await;
         let now = Instant::now();
--- a/crates/relay/src/crash/suspects.rs
+++ b/crates/relay/src/crash/suspects.rs
@@ -7,16 +7,16 @@
 
 use tidepier_clock::Instant;
 
-use crate::content::Content;
+use crate::content::Fingerprint;
 use crate::fleet::{Backend, Key};
-use crate::notice::Notice;
+use crate::notifier::Notifier;
 
 /// The requests that broke off at one server.
 pub struct Suspect {
     /// The server.
     pub backend: Rc<Backend>,
     /// What was asked there; the same content once for each of its requests.
-    pub contents: Vec<Content>,
+    pub contents: Vec<Fingerprint>,
     /// When the first one broke off.
     pub since: Instant,
 }
@@ -28,12 +28,12 @@
     /// Those at which nobody looks yet.
     fresh: RefCell<Vec<Rc<Backend>>>,
     /// Notified when there is one.
-    pub changed: Notice,
+    pub changed: Notifier,
 }
 
 impl Suspects {
     /// Records that a request broke off at a server.
-    pub fn add(&self, backend: &Rc<Backend>, content: Content) {
+    pub fn add(&self, backend: &Rc<Backend>, content: Fingerprint) {
         let mut open = self.open.borrow_mut();
         let suspect = open.entry(backend.key).or_insert_with(|| {
             self.fresh.borrow_mut().push(backend.clone());
--- a/crates/relay/src/crash/table.rs
+++ b/crates/relay/src/crash/table.rs
@@ -19,7 +19,7 @@
 use serde::{Deserialize, Serialize};
 use tidepier_clock::Instant;
 
-use crate::content::Content;
+use crate::content::Fingerprint;
 use crate::fleet::Key;
 
 /// Ends of servers under a content from which it is refused. With two, a bystander
@@ -39,7 +39,7 @@
 pub const REFUSED_MAX: Duration = Duration::from_secs(3_600);
 /// How long ends are remembered of a content that is not refused, and a whole answer
 /// or the operator's word: ends further apart are chance.
-pub const REMEMBERED: Duration = Duration::from_secs(600);
+pub const RETENTION: Duration = Duration::from_secs(600);
 /// Two ends of one server within this time are one: boxes see it at moments that
 /// differ by the time of a message, and a server that ended is not back so soon.
 const SAME_END: Duration = Duration::from_millis(1_500);
@@ -104,7 +104,7 @@
     /// again, so that one end more is enough.
     fn held_until(&self) -> Option<Instant> {
         let last = self.ends.last().map(|end| end.at).max(self.cleared)?;
-        let remembered = last + REMEMBERED;
+        let remembered = last + RETENTION;
         let until = self.refused_until().map(|until| until + (until - last));
         Some(until.map_or(remembered, |until| until.max(remembered)))
     }
@@ -115,7 +115,7 @@
 #[serde(from = "RowParts", into = "RowParts")]
 pub struct Row {
     /// The content.
-    pub content: Content,
+    pub content: Fingerprint,
     /// Servers that ended under it, and how long ago.
     pub ends: Vec<(Key, Duration)>,
     /// How long ago what came before became void.
@@ -123,7 +123,7 @@
 }
 
 /// A row as it is sent: ages in ms.
-type RowParts = (Content, Vec<(Key, u32)>, Option<u32>);
+type RowParts = (Fingerprint, Vec<(Key, u32)>, Option<u32>);
 
 impl From<RowParts> for Row {
     fn from((content, ends, cleared): RowParts) -> Self {
@@ -146,7 +146,7 @@
 
 /// Which contents are told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
+pub enum Scope {
     /// All, to one that puts together what several boxes saw.
     All,
     /// Those that two servers ended under, and those that became void.
@@ -157,41 +157,41 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
     /// It is refused from now on, for so long; so many servers ended under it.
-    Refused(Content, usize, Duration),
+    Refused(Fingerprint, usize, Duration),
     /// It is no longer refused.
-    Cleared(Content),
+    Cleared(Fingerprint),
 }
 
 /// What one box knows.
 #[derive(Debug, Default)]
 pub struct Table {
-    entries: RefCell<HashMap<Content, Entry>>,
+    entries: RefCell<HashMap<Fingerprint, Entry>>,
     /// Contents by when they last changed.
-    order: RefCell<BTreeMap<u64, Content>>,
+    order: RefCell<BTreeMap<u64, Fingerprint>>,
     changes: Cell<u64>,
 }
 
 impl Table {
     /// Records that a server ended under a content at `at`.
-    pub fn ended(&self, content: Content, server: Key, at: Instant) -> Option<Change> {
+    pub fn ended(&self, content: Fingerprint, server: Key, at: Instant) -> Option<Change> {
         self.change(content, at, |entry| entry.add(End { server, at }))
     }
 
     /// Voids what was held against a content up to `at`: it was answered whole, or
     /// the operator lets it pass.
-    pub fn clear(&self, content: Content, at: Instant) -> Option<Change> {
+    pub fn clear(&self, content: Fingerprint, at: Instant) -> Option<Change> {
         self.change(content, at, |entry| entry.clear(at))
     }
 
     /// The same if anything is held against it.
-    pub fn answered(&self, content: Content, at: Instant) -> Option<Change> {
+    pub fn answered(&self, content: Fingerprint, at: Instant) -> Option<Change> {
         let held = self.entries.borrow().get(&content).map(|it| it.ends.len());
         held.filter(|ends| *ends > 0)?;
         self.clear(content, at)
     }
 
     /// How much longer a content is refused; `None`: it is not.
-    pub fn refused(&self, content: Content, now: Instant) -> Option<Duration> {
+    pub fn refused(&self, content: Fingerprint, now: Instant) -> Option<Duration> {
         let entries = self.entries.borrow();
         let until = entries.get(&content)?.refused_until()?;
         until
@@ -238,7 +238,7 @@
 
     /// What changed after a place, at most so many rows, and the place after them.
     /// The place 0 is before all.
-    pub fn since(&self, place: u64, most: usize, told: Told, now: Instant) -> (Vec<Row>, u64) {
+    pub fn since(&self, place: u64, most: usize, told: Scope, now: Instant) -> (Vec<Row>, u64) {
         let entries = self.entries.borrow();
         let order = self.order.borrow();
         let mut rows = Vec::new();
@@ -249,7 +249,7 @@
             let Some(entry) = entries.get(content) else {
                 continue;
             };
-            if told == Told::All || entry.ends.len() > 1 || entry.cleared.is_some() {
+            if told == Scope::All || entry.ends.len() > 1 || entry.cleared.is_some() {
                 rows.push(row(*content, entry, now));
             }
         }
@@ -271,7 +271,7 @@
     /// Changes what is known of a content; tells if its standing changed.
     fn change(
         &self,
-        content: Content,
+        content: Fingerprint,
         now: Instant,
         change: impl FnOnce(&mut Entry) -> bool,
     ) -> Option<Change> {
@@ -305,7 +305,7 @@
     }
 }
 
-fn row(content: Content, entry: &Entry, now: Instant) -> Row {
+fn row(content: Fingerprint, entry: &Entry, now: Instant) -> Row {
     let age = |at: Instant| now.saturating_duration_since(at);
     let ends = entry.ends.iter().map(|end| (end.server, age(end.at)));
     Row {
@@ -317,7 +317,7 @@
 
 /// Drops the content under which the fewest servers ended, of these the one that
 /// changed first.
-fn drop_least(entries: &mut HashMap<Content, Entry>, order: &mut BTreeMap<u64, Content>) {
+fn drop_least(entries: &mut HashMap<Fingerprint, Entry>, order: &mut BTreeMap<u64, Fingerprint>) {
     let least = entries
         .iter()
         .min_by_key(|(_, it)| (it.ends.len(), it.changed));
--- a/crates/relay/src/emptied.rs
+++ b/crates/relay/src/emptied_halls.rs
@@ -17,8 +17,8 @@
 use tidepier_core::era::{Era, Revision};
 use tidepier_ids as ids;
 
-use crate::stamp;
-use crate::standing::Hold;
+use crate::era_state::Precedence;
+use crate::revision_serde;
 
 /// Halls remembered that were taken back: more than any operator has.
 const BACK_MAX: usize = 64;
@@ -29,7 +29,7 @@
     /// The hall.
     pub hall: ids::Hall,
     /// Revision of the operator's entry.
-    #[serde(flatten, with = "stamp")]
+    #[serde(flatten, with = "revision_serde")]
     pub revision: Revision,
 }
 
@@ -60,7 +60,7 @@
 struct Told {
     rows: Vec<Row>,
     seen: u64,
-    #[serde(default, skip_serializing_if = "stamp::is_only")]
+    #[serde(default, skip_serializing_if = "revision_serde::is_default_era")]
     era: u64,
 }
 
@@ -90,16 +90,16 @@
 
 /// What one box knows.
 #[derive(Debug, Default)]
-pub struct Emptied {
+pub struct EmptiedHalls {
     asked: RefCell<BTreeMap<ids::Hall, Asked>>,
     seen: Cell<Revision>,
     /// The entries that the store has, which may be older than what was asked last.
     stored: RefCell<BTreeMap<ids::Hall, Revision>>,
 }
 
-impl Emptied {
+impl EmptiedHalls {
     /// Records that a hall is to be empty, unless what is known stands against it.
-    pub fn empty(&self, hall: ids::Hall, revision: Revision, hold: Option<Hold>) {
+    pub fn empty(&self, hall: ids::Hall, revision: Revision, hold: Option<Precedence>) {
         self.stored.borrow_mut().insert(hall.clone(), revision);
         self.set(hall, true, revision, hold);
     }
@@ -125,7 +125,7 @@
     /// Takes over the whole state as of a revision, unless what is known stands against
     /// it. Returns whether a proof of the one proves the other: what is known here is the
     /// same now, but for what stands.
-    pub fn merge(&self, list: &List, hold: Option<Hold>) -> bool {
+    pub fn merge(&self, list: &List, hold: Option<Precedence>) -> bool {
         let listed: BTreeMap<ids::Hall, Revision> = list
             .rows
             .iter()
@@ -187,7 +187,7 @@
         rows.collect()
     }
 
-    fn set(&self, hall: ids::Hall, empty: bool, revision: Revision, hold: Option<Hold>) {
+    fn set(&self, hall: ids::Hall, empty: bool, revision: Revision, hold: Option<Precedence>) {
         self.seen.set(self.seen.get().max(revision));
         let mut asked = self.asked.borrow_mut();
         if let Some(known) = asked.get(&hall) {
--- a/crates/relay/src/standing.rs
+++ b/crates/relay/src/era_state.rs
@@ -26,18 +26,18 @@
     /// It was written in this era.
     Era,
     /// The copy may have had it.
-    Copy,
+    Backup,
 }
 
 /// While it lasts, what was known in former eras stands against what the copy may have
 /// had.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Hold {
+pub struct Precedence {
     /// The first state of the era that was heard of.
     first: Revision,
 }
 
-impl Hold {
+impl Precedence {
     /// The hold of an era with this first state.
     pub fn new(first: Revision) -> Self {
         Self { first }
@@ -56,7 +56,7 @@
 
 /// What shows that the operator's entries are whole in an era.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ground {
+pub enum Evidence {
     /// The store tells no eras.
     NoEras,
     /// All boxes start for the first time.
@@ -68,20 +68,20 @@
     /// lost as it was made is known to no box, and the copy says nothing of it.
     Same,
     /// Another box says so, by itself or by the mark in the store.
-    Told,
+    Report,
     /// The time is over in which they would have been written again.
     Waited,
 }
 
-impl fmt::Display for Ground {
+impl fmt::Display for Evidence {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Ground::NoEras => "no_eras",
-            Ground::FirstStart => "first_start",
-            Ground::Written => "written",
-            Ground::Same => "same",
-            Ground::Told => "told",
-            Ground::Waited => "waited",
+            Evidence::NoEras => "no_eras",
+            Evidence::FirstStart => "first_start",
+            Evidence::Written => "written",
+            Evidence::Same => "same",
+            Evidence::Report => "told",
+            Evidence::Waited => "waited",
         })
     }
 }
@@ -97,7 +97,7 @@
 
 /// What was known of the operator's configuration as an era began.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Before {
+pub struct Prior {
     /// The version in force here.
     pub in_force: Option<Version>,
     /// The store's entry.
@@ -108,7 +108,7 @@
     pub age: Option<Duration>,
 }
 
-impl Before {
+impl Prior {
     /// Whether an entry of the next era cannot be from this one, as this one had another
     /// entry in a state at which that number had been given out.
     fn rules_out(&self, later: Entry) -> bool {
@@ -137,15 +137,15 @@
     /// The lowest number of the store's state that was heard of.
     first: u64,
     since: Instant,
-    before: Before,
+    before: Prior,
     /// Whether the operator's entries were whole in the era before.
     was_settled: bool,
-    ground: Option<Ground>,
+    ground: Option<Evidence>,
 }
 
 /// What one box knows of the store's era.
 #[derive(Debug, Default)]
-pub struct Standing {
+pub struct EraState {
     known: Cell<Option<Known>>,
     /// Whether other boxes were asked since it began.
     asked: Cell<bool>,
@@ -154,9 +154,9 @@
     changed: Cell<bool>,
 }
 
-impl Standing {
+impl EraState {
     /// Records that all boxes start for the first time.
-    pub fn start_first(&self) {
+    pub fn record_first_start(&self) {
         self.first_start.set(true);
     }
 
@@ -185,7 +185,7 @@
 
     /// Records a state of the store that was heard of at `now`, and what was known before.
     /// Returns whether it is the first one of a later era.
-    pub fn hear(&self, state: Revision, before: Before, now: Instant) -> bool {
+    pub fn observe(&self, state: Revision, before: Prior, now: Instant) -> bool {
         let (era, first) = (state.era(), state.number());
         match self.known.get() {
             Some(known) if era < known.era => false,
@@ -196,8 +196,8 @@
             }
             earlier => {
                 let ground = match earlier {
-                    _ if era == Era(0) => Some(Ground::NoEras),
-                    None if self.first_start.get() => Some(Ground::FirstStart),
+                    _ if era == Era(0) => Some(Evidence::NoEras),
+                    None if self.first_start.get() => Some(Evidence::FirstStart),
                     _ => None,
                 };
                 self.asked.set(false);
@@ -224,23 +224,23 @@
         if written {
             Origin::Era
         } else {
-            Origin::Copy
+            Origin::Backup
         }
     }
 
     /// The same where what was known was not older than that as the era began: else the
     /// copy may be newer. A box that starts knows what others tell it since.
-    pub fn hold_recent(&self, within: Duration, now: Instant) -> Option<Hold> {
+    pub fn hold_recent(&self, within: Duration, now: Instant) -> Option<Precedence> {
         let known = self.known.get()?;
         let recent = known.before.age.is_none_or(|age| age < within);
         self.hold(within, now).filter(|_| recent)
     }
 
     /// What was known in former eras stands while the era is younger than `within`.
-    pub fn hold(&self, within: Duration, now: Instant) -> Option<Hold> {
+    pub fn hold(&self, within: Duration, now: Instant) -> Option<Precedence> {
         let known = self.known.get()?;
         let young = now.saturating_duration_since(known.since) < within;
-        young.then(|| Hold::new(Revision::new(known.era, known.first)))
+        young.then(|| Precedence::new(Revision::new(known.era, known.first)))
     }
 
     /// Whether the operator's entries are known to be whole in this era.
@@ -263,7 +263,7 @@
 
     /// Records that the operator's entries are whole in this era; returns whether that
     /// is new.
-    pub fn settle(&self, ground: Ground) -> bool {
+    pub fn settle(&self, ground: Evidence) -> bool {
         let Some(known) = self.known.get().filter(|known| known.ground.is_none()) else {
             return false;
         };
@@ -274,13 +274,13 @@
 
     /// What shows that the operator's entries are whole while the store has this
     /// configuration and `in_force` is in force.
-    pub fn weigh(
+    pub fn evaluate(
         &self,
         stored: Option<Entry>,
         in_force: Option<Version>,
         waits: Waits,
         now: Instant,
-    ) -> Option<Ground> {
+    ) -> Option<Evidence> {
         let known = self.known.get()?;
         let version = stored.map(|entry| entry.version);
         let is_behind = version < in_force;
@@ -291,11 +291,11 @@
         let age = now.saturating_duration_since(known.since);
         let is_same = known.before.in_force == version && version == in_force;
         if written && !is_behind {
-            Some(Ground::Written)
+            Some(Evidence::Written)
         } else if is_same && self.asked.get() && age >= waits.stable {
-            Some(Ground::Same)
+            Some(Evidence::Same)
         } else if age >= waits.rewrite {
-            Some(Ground::Waited)
+            Some(Evidence::Waited)
         } else {
             None
         }
--- a/crates/relay/src/exchange/admit.rs
+++ b/crates/relay/src/exchange/admit.rs
@@ -13,8 +13,8 @@
 use tidepier_ids as ids;
 use tidepier_platform::request as wire_request;
 
-use super::job::{Arrival, Exchange, Start};
-use crate::content::{Content, Parts};
+use super::job::{Exchange, IncomingRequest, Start};
+use crate::content::{Fingerprint, Parts};
 use crate::refusal;
 use crate::relay::Relay;
 
@@ -29,7 +29,7 @@
 /// The kind of the refusal.
 pub(super) fn admit<'a>(
     relay: &'a Relay,
-    arrival: &'a Arrival<'a>,
+    arrival: &'a IncomingRequest<'a>,
     writer: &'a Writer,
 ) -> Result<Exchange<'a>, Denied> {
     let request = wire_request::decode(arrival.head).map_err(|error| {
@@ -45,7 +45,7 @@
     let declared = catalog.services.get(&service);
     let connections = declared.map_or(u32::MAX, |service| service.connections);
     let engine = declared.and_then(|service| service.engine);
-    let patience = request.patience.unwrap_or(route.timeout);
+    let patience = request.client_timeout.unwrap_or(route.timeout);
     let deadline = arrival.at + patience.min(route.timeout);
     relay.budget.request(&service, arrival.at);
     let content = content(arrival, &request, account.as_deref());
@@ -77,10 +77,14 @@
 
 /// What the request asks, whichever attempt it is. Who asks is the account, on a
 /// route without accounts the key, if there is one.
-fn content(arrival: &Arrival<'_>, request: &Request, account: Option<&Account>) -> Content {
+fn content(
+    arrival: &IncomingRequest<'_>,
+    request: &Request,
+    account: Option<&Account>,
+) -> Fingerprint {
     let account = account.map(|account| account.name.as_str());
     let caller = account.or(request.key.as_deref());
-    Content::new(&Parts {
+    Fingerprint::new(&Parts {
         method: arrival.head.method(),
         host: &request.host,
         target: arrival.head.target(),
@@ -98,7 +102,7 @@
     let route = catalog.as_ref();
     let route = route.and_then(|catalog| catalog.route(&request.host, &request.path));
     let route = route.map(|route| route.timeout);
-    let limits = request.patience.into_iter().chain(route);
+    let limits = request.client_timeout.into_iter().chain(route);
     at.checked_add(limits.min()?)
 }
 
@@ -108,7 +112,7 @@
     catalog: &Catalog,
     request: &Request,
 ) -> Result<(Arc<Route>, Option<Arc<Account>>), refusal::Kind> {
-    let fresh = relay.view.is_fresh(relay.bounds().fresh);
+    let fresh = relay.view.is_fresh(relay.bounds().catalog_max_age);
     // What is missing in an old catalog may have been added since.
     let fact = |kind| if fresh { kind } else { stale(relay) };
     let route = catalog.route(&request.host, &request.path).cloned();
@@ -143,7 +147,7 @@
     // A key may have been revoked since the catalog was the newest one.
     let trusted = relay
         .bounds()
-        .trusted
+        .key_max_age
         .is_none_or(|most| relay.view.is_fresh(most));
     if !trusted {
         return Err(stale(relay));
--- a/crates/relay/src/exchange/answer.rs
+++ b/crates/relay/src/exchange/answer.rs
@@ -6,7 +6,7 @@
 use tidepier_h1::{Head, Writer};
 use tidepier_platform::answer::{self, Length};
 
-use super::end::End;
+use super::end::Disposition;
 use crate::fleet::Backend;
 
 /// An answer that was read whole.
@@ -27,13 +27,13 @@
 
 impl Whole {
     /// Writes it to the client, whose connection ends with it if `close`.
-    pub(super) async fn deliver(&self, writer: &Writer, close: bool) -> End {
+    pub(super) async fn deliver(&self, writer: &Writer, close: bool) -> Disposition {
         let mut out = Vec::new();
         answer::encode(&self.head, self.length, close, &mut out);
         out.extend_from_slice(&self.body);
         match writer.write_all(&out).await {
-            Ok(()) if !close => End::Keep,
-            _ => End::Close,
+            Ok(()) if !close => Disposition::Keep,
+            _ => Disposition::Close,
         }
     }
 }
--- a/crates/relay/src/exchange/end.rs
+++ b/crates/relay/src/exchange/end.rs
@@ -2,7 +2,7 @@
 
 /// What becomes of the client's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum Disposition {
     /// It may carry another request.
     Keep,
     /// It is to be closed.
--- a/crates/relay/src/exchange/job.rs
+++ b/crates/relay/src/exchange/job.rs
@@ -11,11 +11,11 @@
 use tidepier_platform::answer;
 
 use super::answer::Whole;
-use crate::content::Content;
+use crate::content::Fingerprint;
 use crate::relay::Relay;
 
 /// A request as it arrived.
-pub struct Arrival<'a> {
+pub struct IncomingRequest<'a> {
     /// The head.
     pub head: &'a Head,
     /// The whole body.
@@ -39,11 +39,11 @@
 /// A request that was admitted.
 pub(super) struct Exchange<'a> {
     pub(super) relay: &'a Relay,
-    pub(super) arrival: &'a Arrival<'a>,
+    pub(super) arrival: &'a IncomingRequest<'a>,
     pub(super) writer: &'a Writer,
     pub(super) request: Request,
     /// What it asks, whichever attempt it is.
-    pub(super) content: Content,
+    pub(super) content: Fingerprint,
     pub(super) route: Arc<Route>,
     pub(super) account: Option<Arc<Account>>,
     pub(super) service: ids::Service,
@@ -74,7 +74,7 @@
 impl Exchange<'_> {
     /// Whether the client's connection is closed after this answer.
     pub(super) fn closes(&self) -> bool {
-        self.arrival.close || self.relay.sheds()
+        self.arrival.close || self.relay.closes_clients()
     }
 
     /// Encodes an answer's head for the client.
--- a/crates/relay/src/exchange/mod.rs
+++ b/crates/relay/src/exchange/mod.rs
@@ -26,9 +26,9 @@
 use tidepier_platform::refusal as wire_refusal;
 
 pub use admit::deadline;
-pub use end::End;
-pub use job::Arrival;
+pub use end::Disposition;
 use job::Exchange;
+pub use job::IncomingRequest;
 
 use crate::attempt::{Failure, Reply};
 use crate::fleet::Backend;
@@ -36,7 +36,7 @@
 use crate::relay::Relay;
 
 /// Answers one request.
-pub async fn run(relay: &Relay, arrival: &Arrival<'_>, writer: &Writer) -> End {
+pub async fn run(relay: &Relay, arrival: &IncomingRequest<'_>, writer: &Writer) -> Disposition {
     let mut exchange = match admit::admit(relay, arrival, writer) {
         Ok(exchange) => exchange,
         Err((kind, attempt)) => {
@@ -52,11 +52,11 @@
 /// Writes an answer of this box's own.
 pub async fn refuse(
     relay: &Relay,
-    arrival: &Arrival<'_>,
+    arrival: &IncomingRequest<'_>,
     writer: &Writer,
     kind: refusal::Kind,
     attempt: &str,
-) -> End {
+) -> Disposition {
     let view = &relay.view;
     log::info!(
         target: "request",
@@ -67,7 +67,7 @@
         view.age().map_or(-1, |age| age.as_millis() as i64),
     );
     metrics::counter!("tidepier_refusals_total", "why" => kind.name()).increment(1);
-    let close = arrival.close || relay.sheds();
+    let close = arrival.close || relay.closes_clients();
     let mut out = Vec::new();
     wire_refusal::encode(
         kind.status(),
@@ -78,13 +78,13 @@
         &mut out,
     );
     match writer.write_all(&out).await {
-        Ok(()) if !close => End::Keep,
-        _ => End::Close,
+        Ok(()) if !close => Disposition::Keep,
+        _ => Disposition::Close,
     }
 }
 
 impl Exchange<'_> {
-    async fn serve(&mut self) -> Result<End, refusal::Kind> {
+    async fn serve(&mut self) -> Result<Disposition, refusal::Kind> {
         loop {
             let sent = self.send(self.request.resume_after).await;
             let (backend, result) = sent.map_err(|kind| self.unpromised(kind))?;
@@ -100,7 +100,7 @@
 
     /// Ends a request that no server answers any more: with the error that a
     /// server made of it, if there is one, else with an answer of this box.
-    async fn give_up(&mut self, kind: refusal::Kind) -> End {
+    async fn give_up(&mut self, kind: refusal::Kind) -> Disposition {
         if let Some(whole) = self.aside.take() {
             let end = whole.deliver(self.writer, self.closes()).await;
             self.note_answered(&whole.backend, whole.status, whole.first);
@@ -115,7 +115,7 @@
         &mut self,
         backend: &Rc<Backend>,
         result: Result<Reply, Failure>,
-    ) -> Result<End, Failure> {
+    ) -> Result<Disposition, Failure> {
         let reply = self.judge(backend, result?).await?;
         stream::pass(self, backend.clone(), reply).await
     }
--- a/crates/relay/src/exchange/report.rs
+++ b/crates/relay/src/exchange/report.rs
@@ -8,7 +8,7 @@
 use tidepier_platform::answer;
 
 use super::job::Exchange;
-use crate::attempt::{Cause, Failure, Ran};
+use crate::attempt::{Cause, Executed, Failure};
 use crate::choose::Choice;
 use crate::fleet::Backend;
 use crate::health;
@@ -30,14 +30,14 @@
             choice.cost,
             choice.load,
             self.request.prompt.as_ref().map_or(0, |prompt| prompt.shared_tokens()),
-            choice.read,
+            choice.prefill_tokens,
             choice.copy_from.as_ref().map_or("-", |source| source.server.id.as_str()),
             self.subject(),
             choice.rank.map_or(-1, |rank| rank as i64),
             choice.backend.server.hall,
-            choice.backend.health.time_ms().unwrap_or(-1.0),
+            choice.backend.health.mean_latency_ms().unwrap_or(-1.0),
             self.relay.fleet.leaving(&self.service),
-            self.relay.fleet.resting(&self.service, Instant::now()),
+            self.relay.fleet.backing_off(&self.service, Instant::now()),
             self.relay.view.version(),
             self.relay.view.age().map_or(-1, |age| age.as_millis() as i64),
         );
@@ -53,7 +53,7 @@
 
     /// Records a failure.
     pub(crate) fn failed(&mut self, backend: &Rc<Backend>, failure: &Failure) {
-        if failure.ran == Ran::Unknown {
+        if failure.ran == Executed::Unknown {
             self.may_have_run = true;
         }
         if let Some(outcome) = self.outcome(failure) {
@@ -62,14 +62,14 @@
         if let Some(outcome) = trial(&failure.cause) {
             self.note_trial(backend, outcome);
         }
-        if failure.cause.may_be_end() {
+        if failure.cause.may_be_crash() {
             self.relay.crashes.suspects.add(backend, self.content);
         }
         match failure.cause {
             Cause::Refused(answer::MISDIRECTED) => {
-                self.relay.fleet.supplant(&backend.server.id);
+                self.relay.fleet.mark_replaced(&backend.server.id);
             }
-            Cause::Refused(_) => backend.health.turned_away(Instant::now()),
+            Cause::Refused(_) => backend.health.record_rejection(Instant::now()),
             _ => {}
         }
         log::info!(
@@ -91,18 +91,18 @@
     fn outcome(&self, failure: &Failure) -> Option<health::Outcome> {
         match &failure.cause {
             Cause::Connect(error) if error.kind() != io::ErrorKind::TimedOut => {
-                Some(health::Outcome::Absent)
+                Some(health::Outcome::NotListening)
             }
-            Cause::Connect(_) | Cause::Stalled => Some(health::Outcome::Silent),
+            Cause::Connect(_) | Cause::Stalled => Some(health::Outcome::Unresponsive),
             Cause::Withheld(_) => None,
-            Cause::Refused(answer::MISDIRECTED) => Some(health::Outcome::Absent),
-            Cause::Refused(_) => Some(health::Outcome::Good),
+            Cause::Refused(answer::MISDIRECTED) => Some(health::Outcome::NotListening),
+            Cause::Refused(_) => Some(health::Outcome::Succeeded),
             // The time may have been too short for any server.
             Cause::Late => {
                 let waited = self.arrival.at.elapsed();
-                (waited > patience(self.route.objective)).then_some(health::Outcome::Silent)
+                (waited > patience(self.route.objective)).then_some(health::Outcome::Unresponsive)
             }
-            _ => Some(health::Outcome::Bad),
+            _ => Some(health::Outcome::Errored),
         }
     }
 
@@ -119,16 +119,16 @@
     /// request's arrival to the answer's beginning.
     pub(crate) fn answered(&self, backend: &Rc<Backend>, status: u16, first: Duration) {
         let outcome = if status >= 500 {
-            health::Outcome::Bad
+            health::Outcome::Errored
         } else {
-            health::Outcome::Good
+            health::Outcome::Succeeded
         };
         backend.record(outcome, Instant::now());
         if matches!(status, 200..=299) {
             self.relay.crashes.answered(self.content);
         }
         if let Some(took) = self.beginning(first) {
-            backend.health.took(took, Instant::now());
+            backend.health.record_latency(took, Instant::now());
             self.note_trial(backend, self.trial_of(backend, status, took));
         }
         self.note_answered(backend, status, first);
@@ -165,7 +165,7 @@
             server: backend.key,
             outcome,
         };
-        rollouts.evidence.note(&answer, Instant::now());
+        rollouts.evidence.record_answer(&answer, Instant::now());
     }
 
     /// Logs and counts an answer that was passed on whole.
@@ -193,7 +193,7 @@
             Some(Outcome::Failed)
         }
         Cause::Late | Cause::Stalled => Some(Outcome::Late),
-        Cause::Withheld(_) | Cause::Connect(_) | Cause::Foreign | Cause::Refused(_) => None,
+        Cause::Withheld(_) | Cause::Connect(_) | Cause::WrongAttempt | Cause::Refused(_) => None,
     }
 }
 
--- a/crates/relay/src/exchange/retry.rs
+++ b/crates/relay/src/exchange/retry.rs
@@ -13,7 +13,7 @@
 
 use super::job::Exchange;
 use super::stream::{self, scrap};
-use crate::attempt::{Cause, Failure, Ran, Reply};
+use crate::attempt::{Cause, Executed, Failure, Reply};
 use crate::fleet::Backend;
 use crate::refusal;
 
@@ -39,7 +39,7 @@
             let status = reply.answer.status;
             scrap::keep_after(backend, reply, self.deadline).await;
             return Err(Failure {
-                ran: Ran::No,
+                ran: Executed::No,
                 cause: Cause::Refused(status),
             });
         }
@@ -54,7 +54,7 @@
             let aside = stream::set_aside(self, backend, reply).await;
             self.aside = aside.or(self.aside.take());
             return Err(Failure {
-                ran: Ran::Unknown,
+                ran: Executed::Unknown,
                 cause: Cause::Error(status),
             });
         }
@@ -94,7 +94,7 @@
                 self.pass_over();
                 self.paid_or_over(failure)
             }
-            _ if failure.ran == Ran::No || self.route.kind.repeatable() => {
+            _ if failure.ran == Executed::No || self.route.kind.repeatable() => {
                 self.paid_or_over(failure)
             }
             _ => Err(self.given_up(failure)),
@@ -112,7 +112,7 @@
         let mut untried = servers
             .iter()
             .filter(|it| !self.tried.contains(&it.server.id));
-        let hopeful = at_once && untried.any(|it| it.is_usable(now));
+        let hopeful = at_once && untried.any(|it| it.is_healthy(now));
         hopeful && self.absent < ABSENT_HOPEFUL_MAX
     }
 
--- a/crates/relay/src/exchange/send.rs
+++ b/crates/relay/src/exchange/send.rs
@@ -12,14 +12,14 @@
 
 use super::job::{Exchange, Start};
 use super::report;
-use crate::attempt::{self, Cause, Failure, Ran, Reply, Sending};
-use crate::choose::filter::{Filter, Gate, Regions};
-use crate::choose::{self, Ask, Choice};
+use crate::attempt::{self, Cause, Dispatch, Executed, Failure, Reply};
+use crate::choose::filter::{Admission, Filter, Regions};
+use crate::choose::{self, Choice, Criteria};
 use crate::cold::Limit;
 use crate::fleet::{self, Backend, Permit};
 use crate::health::Outcome;
 use crate::refusal;
-use crate::rollout::Aim;
+use crate::rollout::Selector;
 
 /// Longest rest of a kept connection for a request that may run only once: a
 /// server that closes a resting connection would make its fate unknown.
@@ -62,23 +62,23 @@
         let sent_at = choice.cold.unwrap_or_else(Instant::now);
         self.sending = Start {
             at: Instant::now(),
-            reading: choice.reading,
+            reading: choice.prefill_time,
         };
         self.note_placed(&choice);
         let bytes = self.encode(&choice, resume_after);
         let rest = self.rest(&backend);
         let connected = || {
-            backend.pace.delayed(sent_at, Instant::now());
+            backend.pace.reschedule(sent_at, Instant::now());
             self.note_sent(&backend);
         };
-        let sending = Sending {
-            connected: &connected,
+        let sending = Dispatch {
+            on_connected: &connected,
             bytes: &bytes,
             method: self.arrival.head.method(),
             attempt: &self.request.attempt,
             deadline: self.deadline,
-            rest,
-            prefill: choice.read as u64,
+            max_idle: rest,
+            prefill: choice.prefill_tokens as u64,
             fleet: &self.relay.fleet,
         };
         let waiting = Waiting::new(&backend, self.route.objective);
@@ -124,7 +124,7 @@
     }
 
     /// The releases that the request may go to now.
-    fn aim(&self) -> Aim {
+    fn aim(&self) -> Selector {
         let relay = self.relay;
         let again = self.sent > 0 || self.request.resume_after.is_some();
         let trust = relay.bounds().rollback.mul_f64(TRUST_PART);
@@ -136,13 +136,13 @@
         let now = Instant::now();
         let aim = relay
             .rollouts
-            .aim(&self.service, again, trust, servers, now);
+            .release_selector(&self.service, again, trust, servers, now);
         // With no other server a refusal would be worse than a release on trial.
         let is_any = serving.iter().any(|it| aim.admits(&it.server));
         if is_any || serving.is_empty() {
             aim
         } else {
-            Aim::Any
+            Selector::Any
         }
     }
 
@@ -170,7 +170,11 @@
     /// Longest rest of a kept connection that may carry the request.
     fn rest(&self, backend: &Backend) -> Duration {
         let other_hall = backend.server.hall != self.relay.hall;
-        if other_hall && !backend.hall.heard_within(REST_OTHER_HALL, Instant::now()) {
+        if other_hall
+            && !backend
+                .hall
+                .received_within(REST_OTHER_HALL, Instant::now())
+        {
             REST_OTHER_HALL
         } else if self.route.kind.repeatable() {
             REST_REPEATABLE
@@ -180,17 +184,17 @@
     }
 
     /// Chooses a server; a cold one may make the request wait for so long.
-    fn choose(&self, aim: &Aim, patience: Duration) -> Result<Choice, refusal::Kind> {
+    fn choose(&self, aim: &Selector, patience: Duration) -> Result<Choice, refusal::Kind> {
         let relay = self.relay;
         let regions = relay.regions();
         let filter = self.filter(&regions, aim, patience);
-        let ask = Ask {
+        let ask = Criteria {
             prompt: self.request.prompt.as_ref(),
             copy_ms: self.copy_ms,
             tried: &self.tried,
             filter,
             hall: &self.relay.hall,
-            breaks: self.route.kind != Kind::Stream { resumable: true },
+            not_resumable: self.route.kind != Kind::Stream { resumable: true },
             connections: self.connections,
             crowd_factor: relay.bounds().crowd_factor,
         };
@@ -200,23 +204,28 @@
     }
 
     /// The servers that the request may not go to.
-    fn filter<'a>(&'a self, regions: &'a Regions, aim: &'a Aim, patience: Duration) -> Filter<'a> {
+    fn filter<'a>(
+        &'a self,
+        regions: &'a Regions,
+        aim: &'a Selector,
+        patience: Duration,
+    ) -> Filter<'a> {
         let relay = self.relay;
         let bounds = relay.bounds();
         let account = self.account.as_ref();
-        let gate = self.cold.map(|cold| Gate {
+        let gate = self.cold.map(|cold| Admission {
             limit: Limit::new(cold, bounds.cold_overage, bounds.cold_tolerance),
             roster: &relay.roster,
-            patience,
+            max_wait: patience,
         });
         Filter {
-            homes: [
-                self.route.homes.as_ref(),
-                account.and_then(|account| account.homes.as_ref()),
+            allowed_regions: [
+                self.route.allowed_regions.as_ref(),
+                account.and_then(|account| account.allowed_regions.as_ref()),
             ],
             regions: Some(regions),
             gate,
-            aim: (*aim != Aim::Any).then_some(aim),
+            release_selector: (*aim != Selector::Any).then_some(aim),
         }
     }
 
@@ -224,8 +233,8 @@
     fn nowhere(&self, filter: &Filter<'_>, now: Instant) -> refusal::Kind {
         let fleet = &self.relay.fleet;
         let servers = fleet.serving(&self.service);
-        let aimed = servers.iter().filter(|it| filter.is_aimed_at(it));
-        let home = aimed.filter(|it| filter.is_home(&it.server.hall));
+        let aimed = servers.iter().filter(|it| filter.matches_release(it));
+        let home = aimed.filter(|it| filter.is_allowed_hall(&it.server.hall));
         let home: Vec<&Rc<Backend>> = home.collect();
         if servers.is_empty() && !fleet.emptied(&self.service).is_empty() {
             refusal::Kind::Emptied
@@ -235,11 +244,11 @@
             refusal::Kind::NoServer
         } else if home.is_empty() {
             refusal::Kind::NoRegion
-        } else if let Some(rest) = fleet::first_over(home.iter().copied(), now) {
-            refusal::Kind::Resting(rest.come_back(self.route.priority, now))
+        } else if let Some(rest) = fleet::earliest_backoff(home.iter().copied(), now) {
+            refusal::Kind::BackingOff(rest.retry_delay(self.route.priority, now))
         } else if home
             .iter()
-            .all(|it| it.rests(now) || !filter.is_borne(it, now))
+            .all(|it| it.is_backing_off(now) || !filter.has_cold_capacity(it, now))
         {
             refusal::Kind::Cold
         } else {
@@ -282,17 +291,17 @@
     let mut since = Instant::now();
     loop {
         tidepier_clock::sleep_until(since + SILENCE).await;
-        let is_silent = || backend.heard().is_none_or(|heard| heard <= since);
-        if is_silent() && attempt::is_there(backend).await {
+        let is_silent = || backend.last_received().is_none_or(|heard| heard <= since);
+        if is_silent() && attempt::accepts_connection(backend).await {
             tidepier_clock::sleep_until(since + SILENCE_THERE).await;
         }
         if is_silent() {
             return Err(Failure {
-                ran: Ran::Unknown,
+                ran: Executed::Unknown,
                 cause: Cause::Stalled,
             });
         }
-        since = backend.heard().unwrap_or(since);
+        since = backend.last_received().unwrap_or(since);
     }
 }
 
@@ -323,7 +332,7 @@
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
         if !self.over && self.since.elapsed() > self.patience {
-            self.backend.record(Outcome::Silent, Instant::now());
+            self.backend.record(Outcome::Unresponsive, Instant::now());
         }
     }
 }
--- a/crates/relay/src/exchange/stream/mod.rs
+++ b/crates/relay/src/exchange/stream/mod.rs
@@ -14,7 +14,7 @@
 
 use std::rc::Rc;
 
-use super::end::End;
+use super::end::Disposition;
 use super::job::Exchange;
 use crate::attempt::{Failure, Reply};
 use crate::fleet::Backend;
@@ -30,7 +30,7 @@
     exchange: &mut Exchange<'_>,
     backend: Rc<Backend>,
     reply: Reply,
-) -> Result<End, Failure> {
+) -> Result<Disposition, Failure> {
     let bodiless = exchange.arrival.head.method() == "HEAD";
     if exchange.route.kind.is_stream() && reply.answer.status == 200 && !bodiless {
         series::pass(exchange, backend, reply).await
--- a/crates/relay/src/exchange/stream/series.rs
+++ b/crates/relay/src/exchange/stream/series.rs
@@ -14,9 +14,9 @@
 use tidepier_platform::answer::Length;
 
 use super::scrap;
-use crate::attempt::{Cause, Failure, Ran, Reply};
+use crate::attempt::{Cause, Executed, Failure, Reply};
 use crate::events::Events;
-use crate::exchange::end::End;
+use crate::exchange::end::Disposition;
 use crate::exchange::job::Exchange;
 use crate::fleet::Backend;
 use crate::timeout::Limit;
@@ -48,11 +48,11 @@
 
     /// What becomes of the connection of an answer that cannot be completed. A chunked
     /// one without its last chunk is incomplete in itself.
-    fn broken(&self) -> End {
+    fn broken(&self) -> Disposition {
         if self.chunked {
-            End::Close
+            Disposition::Close
         } else {
-            End::Reset
+            Disposition::Reset
         }
     }
 
@@ -74,7 +74,7 @@
     exchange: &mut Exchange<'_>,
     mut backend: Rc<Backend>,
     mut reply: Reply,
-) -> Result<End, Failure> {
+) -> Result<Disposition, Failure> {
     let client = Client::new(exchange, &reply);
     let mut out = exchange.head(&reply.head, client.length(), client.close);
     let mut events = Events::default();
@@ -92,7 +92,7 @@
         );
         let failure = match copied.await {
             Ok(Copied::Whole) => return Ok(finish(exchange, &client, backend, reply).await),
-            Ok(Copied::Gone) => return Ok(End::Close),
+            Ok(Copied::Gone) => return Ok(Disposition::Close),
             Err(failure) => failure,
         };
         // Nothing was passed on yet: as though there had been no answer.
@@ -132,7 +132,7 @@
     client: &Client,
     backend: Rc<Backend>,
     reply: Reply,
-) -> End {
+) -> Disposition {
     if reply.reusable {
         backend.keep(reply.conn, reply.answer.keep_alive);
     }
@@ -140,9 +140,9 @@
     let first = client.first.get().unwrap_or_default();
     exchange.answered(&backend, reply.answer.status, first);
     if client.close {
-        End::Close
+        Disposition::Close
     } else {
-        End::Keep
+        Disposition::Keep
     }
 }
 
@@ -184,7 +184,11 @@
     let status = reply.answer.status;
     let not_run = reply.answer.not_run;
     Failure {
-        ran: if not_run { Ran::No } else { Ran::Unknown },
+        ran: if not_run {
+            Executed::No
+        } else {
+            Executed::Unknown
+        },
         cause: if status >= 500 && !not_run {
             Cause::Error(status)
         } else {
@@ -213,8 +217,8 @@
 ) -> Result<Copied, Failure> {
     loop {
         let more = read_some(exchange, client, reply, events, limit).await?;
-        backend.hear();
-        reply.running.begun();
+        backend.record_received();
+        reply.running.answer_started();
         let whole = if more { events.take() } else { events.rest() };
         if !whole.is_empty() {
             push(out, &whole, client.chunked);
@@ -269,7 +273,7 @@
     let read = async {
         let read = reply.body.read(&mut reply.conn, events.buffer()).await;
         read.map_err(|error| Failure {
-            ran: Ran::Unknown,
+            ran: Executed::Unknown,
             cause: Cause::Broken(error),
         })
     };
@@ -280,7 +284,7 @@
             Cause::Late
         };
         Err(Failure {
-            ran: Ran::Unknown,
+            ran: Executed::Unknown,
             cause,
         })
     };
--- a/crates/relay/src/exchange/stream/whole.rs
+++ b/crates/relay/src/exchange/stream/whole.rs
@@ -6,9 +6,9 @@
 use tidepier_platform::answer::Length;
 
 use super::scrap;
-use crate::attempt::{Cause, Failure, Ran, Reply};
+use crate::attempt::{Cause, Executed, Failure, Reply};
 use crate::exchange::answer::Whole;
-use crate::exchange::end::End;
+use crate::exchange::end::Disposition;
 use crate::exchange::job::Exchange;
 use crate::fleet::Backend;
 use crate::timeout;
@@ -28,9 +28,9 @@
     exchange: &mut Exchange<'_>,
     backend: Rc<Backend>,
     reply: Reply,
-) -> Result<End, Failure> {
+) -> Result<Disposition, Failure> {
     let whole = read(exchange, backend, reply, WHOLE_BYTES, exchange.deadline).await?;
-    whole.backend.hear();
+    whole.backend.record_received();
     let end = whole.deliver(exchange.writer, exchange.closes()).await;
     exchange.answered(&whole.backend, whole.status, whole.first);
     Ok(end)
@@ -105,13 +105,13 @@
     let read = async {
         let rest = reply.body.rest(&mut reply.conn, Some(body), most);
         rest.await.map_err(|error| Failure {
-            ran: Ran::Unknown,
+            ran: Executed::Unknown,
             cause: Cause::Broken(error.into()),
         })
     };
     let late = || {
         Err(Failure {
-            ran: Ran::Unknown,
+            ran: Executed::Unknown,
             cause: Cause::Late,
         })
     };
--- a/crates/relay/src/fleet/word.rs
+++ b/crates/relay/src/fleet/advertisement.rs
@@ -3,7 +3,7 @@
 //! A server says that it leaves in its entry in the store and in each of its answers.
 //! The store may be away when it does, so that its answers are the only word of it;
 //! and an entry that says `ready` may be older than the answer, however it comes. And
-//! it may ask this box for rest ([`rest`](super::rest)). All of it is kept here, for
+//! it may ask this box for rest ([`backoff`](super::backoff)). All of it is kept here, for
 //! one life of the server, and whoever sends to a server asks here first
 //! ([`Fleet::permit`](super::Fleet::permit)).
 //!
@@ -12,7 +12,7 @@
 //! * That a server leaves is not taken back in the same life.
 //! * The rest that it asked for ends with its time, its life or the operator's word.
 //! * A word outlives the server's entry: one that goes and comes back in the same life
-//!   finds it again ([`parted`](super::parted)).
+//!   finds it again (`parted`).
 
 use std::cell::Cell;
 use std::fmt;
@@ -20,7 +20,7 @@
 
 use tidepier_clock::Instant;
 
-use super::rest::Rest;
+use super::backoff::Backoff;
 
 /// Rests that end within so long are one: each of several requests under way brings its
 /// own.
@@ -46,12 +46,12 @@
 
 /// What one life of a server has said of itself.
 #[derive(Debug, Default)]
-pub struct Word {
+pub struct Advertisement {
     leaving: Cell<Option<Leaving>>,
-    rest: Cell<Option<Rest>>,
+    rest: Cell<Option<Backoff>>,
 }
 
-impl Word {
+impl Advertisement {
     /// Records that the server leaves; returns whether that is new.
     pub(super) fn leave(&self, source: Source, now: Instant) -> bool {
         let is_new = self.leaving.get().is_none();
@@ -73,7 +73,7 @@
     /// requests that crossed each other, so that a shorter one takes nothing back.
     pub(super) fn ask_rest(&self, asked: Duration, now: Instant) -> bool {
         let known = self.rest.get().filter(|known| known.holds(now));
-        let rest = Rest::new(asked, now);
+        let rest = Backoff::new(asked, now);
         let longer = known.is_none_or(|known| known.until < rest.until);
         if longer {
             self.rest.set(Some(rest));
@@ -82,7 +82,7 @@
     }
 
     /// The rest that the server asked for last, as long as it matters.
-    pub fn rest(&self) -> Option<Rest> {
+    pub fn rest(&self) -> Option<Backoff> {
         self.rest.get()
     }
 
@@ -100,7 +100,7 @@
 
 /// Why nothing may be sent to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Withheld {
+pub enum Ineligible {
     /// Its entry is gone, or another server has its address.
     Gone,
     /// It leaves.
@@ -108,16 +108,16 @@
     /// The operator asked to empty its hall.
     Emptied,
     /// It asked this box for rest.
-    Resting,
+    BackingOff,
 }
 
-impl fmt::Display for Withheld {
+impl fmt::Display for Ineligible {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Withheld::Gone => "the server is gone",
-            Withheld::Leaving => "the server leaves",
-            Withheld::Emptied => "the server's hall is to be empty",
-            Withheld::Resting => "the server asked for rest",
+            Ineligible::Gone => "the server is gone",
+            Ineligible::Leaving => "the server leaves",
+            Ineligible::Emptied => "the server's hall is to be empty",
+            Ineligible::BackingOff => "the server asked for rest",
         })
     }
 }
--- a/crates/relay/src/fleet/backend.rs
+++ b/crates/relay/src/fleet/backend.rs
@@ -1,6 +1,6 @@
 //! One backend server: what runs there and how it answers.
 //!
-//! Invariant: a request counts as under way until its [`Running`] is dropped.
+//! Invariant: a request counts as under way until its [`InFlight`] is dropped.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,15 +8,15 @@
 
 use tidepier_clock::Instant;
 use tidepier_core::answer::Load;
-use tidepier_core::server::{Birth, Server};
+use tidepier_core::server::{Server, StartTime};
 use tidepier_h1::Conn;
 
+use super::advertisement::{Advertisement, Ineligible};
+use super::backoff::Backoff;
 use super::hall::Hall;
 use super::idle::Idle;
-use super::rest::Rest;
-use super::word::{Withheld, Word};
 use super::Key;
-use crate::cold::Pace;
+use crate::cold::Window;
 use crate::health::{Health, Outcome};
 
 /// Longest time for which a server is believed to be cold.
@@ -66,7 +66,7 @@
     /// started later.
     pub known_since: Instant,
     /// When it started, once that was told.
-    born: Cell<Option<Birth>>,
+    born: Cell<Option<StartTime>>,
     /// Requests that it works on at once, as it said last.
     pub(super) slots: Cell<u32>,
     /// Stands for its id between boxes.
@@ -76,13 +76,13 @@
     /// What it has seen of all servers of its hall.
     pub hall: Rc<Hall>,
     /// What it has said of itself in this life.
-    pub(super) word: Rc<Word>,
+    pub(super) word: Rc<Advertisement>,
     /// Its entry is gone, or another server has its address.
     over: Cell<bool>,
     /// Its entry is gone while the store cannot be relied on.
     pub(super) missing: Cell<bool>,
     /// Requests of this box that are under way there.
-    own: Cell<u32>,
+    in_flight: Cell<u32>,
     /// Requests of other boxes, as they told last.
     others: Cell<Option<Others>>,
     /// The last load that the server reported.
@@ -92,39 +92,44 @@
     /// When nobody was last there: what comes back at its address is cold.
     absent: Cell<Option<Instant>>,
     /// What this box sent there while it was cold.
-    pub pace: Pace,
+    pub pace: Window,
     /// When something last came from it.
-    heard: Cell<Option<Instant>>,
+    last_received: Cell<Option<Instant>>,
     /// Prompt tokens sent by this box whose answers have not begun.
     prefill: Cell<u64>,
     idle: Idle,
 }
 
 /// Counts a request as under way at a server until it is dropped.
-pub struct Running {
+pub struct InFlight {
     backend: Rc<Backend>,
     prefill: Cell<u64>,
 }
 
-impl Running {
+impl InFlight {
     /// The prompt has been read: its answer has begun.
-    pub fn begun(&self) {
+    pub fn answer_started(&self) {
         let tokens = self.prefill.replace(0);
         let prefill = &self.backend.prefill;
         prefill.set(prefill.get().saturating_sub(tokens));
     }
 }
 
-impl Drop for Running {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        self.begun();
-        let own = &self.backend.own;
+        self.answer_started();
+        let own = &self.backend.in_flight;
         own.set(own.get().saturating_sub(1));
     }
 }
 
 impl Backend {
-    pub(super) fn new(server: Server, word: Rc<Word>, hall: Rc<Hall>, now: Instant) -> Self {
+    pub(super) fn new(
+        server: Server,
+        word: Rc<Advertisement>,
+        hall: Rc<Hall>,
+        now: Instant,
+    ) -> Self {
         Self {
             hall,
             known_since: now,
@@ -135,21 +140,21 @@
             born: Cell::new(server.born),
             cold: Cell::new(until(server.cold, now)),
             absent: Cell::new(None),
-            pace: Pace::default(),
+            pace: Window::default(),
             server,
             health: Health::default(),
             missing: Cell::new(false),
-            own: Cell::new(0),
+            in_flight: Cell::new(0),
             others: Cell::new(None),
             report: Cell::new(None),
-            heard: Cell::new(None),
+            last_received: Cell::new(None),
             prefill: Cell::new(0),
             idle: Idle::default(),
         }
     }
 
     /// When it started, once that was told.
-    pub fn born(&self) -> Option<Birth> {
+    pub fn born(&self) -> Option<StartTime> {
         self.born.get()
     }
 
@@ -162,7 +167,7 @@
     }
 
     /// Records the birth of this life, if it is told.
-    pub(super) fn learn_birth(&self, told: Option<Birth>) {
+    pub(super) fn learn_birth(&self, told: Option<StartTime>) {
         self.born.set(self.born.get().or(told));
     }
 
@@ -172,7 +177,7 @@
     }
 
     /// What it has said of itself in this life.
-    pub fn word(&self) -> &Word {
+    pub fn word(&self) -> &Advertisement {
         &self.word
     }
 
@@ -181,21 +186,21 @@
     /// # Errors
     ///
     /// It does not.
-    pub fn takes(&self, now: Instant) -> Result<(), Withheld> {
+    pub fn takes(&self, now: Instant) -> Result<(), Ineligible> {
         self.standing()?;
-        if self.rests(now) {
-            return Err(Withheld::Resting);
+        if self.is_backing_off(now) {
+            return Err(Ineligible::BackingOff);
         }
         Ok(())
     }
 
     /// The rest that it asked this box for, while that holds.
-    pub fn rest(&self, now: Instant) -> Option<Rest> {
+    pub fn rest(&self, now: Instant) -> Option<Backoff> {
         self.word.rest().filter(|rest| rest.holds(now))
     }
 
     /// Whether it asked this box for rest that is not over.
-    pub fn rests(&self, now: Instant) -> bool {
+    pub fn is_backing_off(&self, now: Instant) -> bool {
         self.rest(now).is_some()
     }
 
@@ -204,13 +209,13 @@
     /// # Errors
     ///
     /// It does not.
-    pub(super) fn standing(&self) -> Result<(), Withheld> {
+    pub(super) fn standing(&self) -> Result<(), Ineligible> {
         if self.over.get() {
-            Err(Withheld::Gone)
+            Err(Ineligible::Gone)
         } else if self.word.leaving().is_some() {
-            Err(Withheld::Leaving)
+            Err(Ineligible::Leaving)
         } else if self.hall.is_emptied() {
-            Err(Withheld::Emptied)
+            Err(Ineligible::Emptied)
         } else {
             Ok(())
         }
@@ -218,7 +223,7 @@
 
     /// Whether it takes new requests: it is not leaving, and the operator has not
     /// asked to empty its hall.
-    pub fn serves(&self) -> bool {
+    pub fn accepts_requests(&self) -> bool {
         self.standing().is_ok()
     }
 
@@ -231,7 +236,7 @@
     }
 
     /// Whether nobody was there at some time of this life, as far as is known here.
-    pub fn was_absent(&self) -> bool {
+    pub fn was_unreachable(&self) -> bool {
         self.absent.get().is_some()
     }
 
@@ -256,20 +261,20 @@
 
     /// Whether this box has no reason to leave it out: neither its own failures
     /// nor a silence of its hall.
-    pub fn is_usable(&self, now: Instant) -> bool {
-        self.health.allows(now) && !self.hall.is_silent(now)
+    pub fn is_healthy(&self, now: Instant) -> bool {
+        self.health.allows(now) && !self.hall.is_unresponsive(now)
     }
 
     /// Requests of this box that are under way there.
-    pub fn own(&self) -> u32 {
-        self.own.get()
+    pub fn in_flight(&self) -> u32 {
+        self.in_flight.get()
     }
 
     /// Counts a request with so many prompt tokens to read as under way.
-    pub fn run(self: &Rc<Self>, prefill: u64) -> Running {
-        self.own.set(self.own.get() + 1);
+    pub fn run(self: &Rc<Self>, prefill: u64) -> InFlight {
+        self.in_flight.set(self.in_flight.get() + 1);
         self.prefill.set(self.prefill.get() + prefill);
-        Running {
+        InFlight {
             backend: self.clone(),
             prefill: Cell::new(prefill),
         }
@@ -281,25 +286,25 @@
     }
 
     /// Records that something came from it.
-    pub fn hear(&self) {
+    pub fn record_received(&self) {
         let now = Instant::now();
-        self.heard.set(Some(now));
+        self.last_received.set(Some(now));
         self.hall.hear(now);
     }
 
     /// Records how a request there ended.
     pub fn record(&self, outcome: Outcome, now: Instant) {
         match outcome {
-            Outcome::Silent => self.hall.miss(now),
-            Outcome::Absent => self.absent.set(Some(now)),
-            Outcome::Good | Outcome::Bad => {}
+            Outcome::Unresponsive => self.hall.miss(now),
+            Outcome::NotListening => self.absent.set(Some(now)),
+            Outcome::Succeeded | Outcome::Errored => {}
         }
         self.health.record(outcome, now);
     }
 
     /// When something last came from it.
-    pub fn heard(&self) -> Option<Instant> {
-        self.heard.get()
+    pub fn last_received(&self) -> Option<Instant> {
+        self.last_received.get()
     }
 
     /// Records a load that the server reported.
@@ -307,7 +312,7 @@
         self.report.set(Some(Report {
             load,
             at,
-            own: self.own.get(),
+            own: self.in_flight.get(),
         }));
     }
 
@@ -317,16 +322,16 @@
             requests,
             boxes,
             at,
-            own: self.own.get(),
+            own: self.in_flight.get(),
         }));
     }
 
     /// Requests of this box and of others that were counted less than `most`
     /// ago.
-    pub fn counted(&self, most: Duration, now: Instant) -> Option<u32> {
+    pub fn total_in_flight(&self, most: Duration, now: Instant) -> Option<u32> {
         let others = self.others.get()?;
         let recent = now.duration_since(others.at) < most;
-        recent.then(|| others.all(self.own.get()))
+        recent.then(|| others.all(self.in_flight.get()))
     }
 
     /// The last load reported that is younger than `most`, corrected by what
@@ -336,9 +341,9 @@
         let report = report.filter(|report| report.at.elapsed() < most)?;
         let sum = report.load.running + report.load.waiting;
         Some(
-            (sum + self.own.get())
+            (sum + self.in_flight.get())
                 .saturating_sub(report.own)
-                .max(self.own.get()),
+                .max(self.in_flight.get()),
         )
     }
 
@@ -350,7 +355,7 @@
 
     /// Keeps a connection on which nothing is under way.
     pub fn keep(&self, conn: Conn, keep_alive: Option<Duration>) {
-        if self.serves() {
+        if self.accepts_requests() {
             self.idle.put(conn, keep_alive);
         }
     }
--- a/crates/relay/src/fleet/rest.rs
+++ b/crates/relay/src/fleet/backoff.rs
@@ -32,14 +32,14 @@
 
 /// A rest that a server asked this box for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Rest {
+pub struct Backoff {
     /// The time that the server asked for.
     pub asked: Duration,
     /// When this box sends there again.
     pub until: Instant,
 }
 
-impl Rest {
+impl Backoff {
     /// A rest that the server asked for at `now`.
     pub(super) fn new(asked: Duration, now: Instant) -> Self {
         let asked = asked.min(LONGEST);
@@ -57,7 +57,7 @@
     /// When a caller is to come back that is refused at `now`: after the rest, callers
     /// one after the other, those of urgent routes first. `rank`: the route's; 0 goes
     /// first.
-    pub fn come_back(&self, rank: u8, now: Instant) -> Duration {
+    pub fn retry_delay(&self, rank: u8, now: Instant) -> Duration {
         let spread = self.asked.mul_f64(RETURN_PART).min(RETURN_MAX);
         let part = f64::from(rank.min(RANKS - 1)) + fastrand::f64();
         self.until.saturating_duration_since(now) + spread.mul_f64(part / f64::from(RANKS))
--- a/crates/relay/src/fleet/hall.rs
+++ b/crates/relay/src/fleet/hall.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Default)]
 pub struct Hall {
     /// Mean time in ms to open a connection to one of its servers.
-    way_ms: Cell<Option<f64>>,
+    round_trip_ms: Cell<Option<f64>>,
     silent: Cell<Option<Instant>>,
     heard: Cell<Option<Instant>>,
     /// Whether the operator asked to send nothing there.
@@ -31,15 +31,16 @@
 impl Hall {
     /// Records how long it took to open a connection to one of its servers:
     /// about the time there and back.
-    pub fn opened(&self, took: Duration) {
+    pub fn record_connect_time(&self, took: Duration) {
         let sample = took.as_secs_f64() * 1e3;
-        let mean = self.way_ms.get().unwrap_or(sample);
-        self.way_ms.set(Some(mean + WAY_WEIGHT * (sample - mean)));
+        let mean = self.round_trip_ms.get().unwrap_or(sample);
+        self.round_trip_ms
+            .set(Some(mean + WAY_WEIGHT * (sample - mean)));
     }
 
     /// Mean time there and back in ms, once a connection was opened.
-    pub fn way_ms(&self) -> Option<f64> {
-        self.way_ms.get()
+    pub fn round_trip_ms(&self) -> Option<f64> {
+        self.round_trip_ms.get()
     }
 
     /// Records that something came from one of its servers.
@@ -48,7 +49,7 @@
     }
 
     /// Whether something came from one of its servers less than `most` ago.
-    pub fn heard_within(&self, most: Duration, now: Instant) -> bool {
+    pub fn received_within(&self, most: Duration, now: Instant) -> bool {
         let heard = self.heard.get();
         heard.is_some_and(|heard| now.duration_since(heard) < most)
     }
@@ -59,7 +60,7 @@
     }
 
     /// Whether the hall seems to be cut off.
-    pub fn is_silent(&self, now: Instant) -> bool {
+    pub fn is_unresponsive(&self, now: Instant) -> bool {
         let Some(silent) = self.silent.get() else {
             return false;
         };
--- a/crates/relay/src/fleet/mod.rs
+++ b/crates/relay/src/fleet/mod.rs
@@ -7,14 +7,14 @@
 //! * One life of a server is its id and its birth: all that is known of one life
 //!   is dropped with it.
 
+pub mod advertisement;
 mod backend;
+pub mod backoff;
 mod hall;
 mod idle;
 mod parted;
 mod permit;
-pub mod rest;
 pub(crate) mod watch;
-pub mod word;
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
@@ -25,17 +25,17 @@
 use serde::{Deserialize, Serialize};
 use tidepier_clock::Instant;
 use tidepier_core::answer::Answer;
-use tidepier_core::server::{Birth, Server, State};
+use tidepier_core::server::{Server, StartTime, State};
 use tidepier_ids as ids;
 use tidepier_platform::answer::MISDIRECTED;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-pub use backend::{Backend, Running};
+use advertisement::{Ineligible, Source};
+pub use backend::{Backend, InFlight};
+use backoff::Backoff;
 pub use hall::Hall;
 use parted::Parted;
 pub use permit::Permit;
-use rest::Rest;
-use word::{Source, Withheld};
 
 /// Stands for one life of a server in what boxes tell each other: half of its hash.
 /// Two of 900 servers have the same one in one fleet of 10,000, which then
@@ -59,7 +59,7 @@
         let id = server.id.as_str().as_bytes();
         match server.born {
             None => Self::new(&server.id),
-            Some(Birth(born)) => Self(xxh3_64_with_seed(id, born) as u32),
+            Some(StartTime(born)) => Self(xxh3_64_with_seed(id, born) as u32),
         }
     }
 }
@@ -105,7 +105,7 @@
     /// A server says that it leaves.
     Leaving,
     /// A server is cold for longer than was known.
-    Colder,
+    ColdForLonger,
     /// Nothing that matters here.
     None,
 }
@@ -147,7 +147,7 @@
                 backend.slots.set(server.slots);
                 let colder = backend.set_cold(server.cold, now);
                 return match self.restate(&backend, server.state, now) {
-                    Change::None if colder => Change::Colder,
+                    Change::None if colder => Change::ColdForLonger,
                     change => change,
                 };
             }
@@ -202,14 +202,14 @@
     /// # Errors
     ///
     /// The server takes nothing new.
-    pub fn permit(&self, backend: &Rc<Backend>, now: Instant) -> Result<Permit, Withheld> {
+    pub fn permit(&self, backend: &Rc<Backend>, now: Instant) -> Result<Permit, Ineligible> {
         Permit::new(backend, now)
     }
 
     /// Records what the head of an answer to `attempt` says of the server that gave it,
     /// while `asked` was asked; logs and counts what is new.
-    pub fn told(&self, asked: &Rc<Backend>, answer: &Answer, attempt: &str) {
-        let said = self.hear(asked, answer, Instant::now());
+    pub fn observe_answer(&self, asked: &Rc<Backend>, answer: &Answer, attempt: &str) {
+        let said = self.apply_answer(asked, answer, Instant::now());
         if said == Said::default() {
             return;
         }
@@ -232,12 +232,12 @@
     /// An answer is a server's only word while the store is away: a box that went by
     /// entries alone sent for nine seconds to a server that said in each answer that it
     /// leaves, and its callers lose what it does not live to end.
-    pub fn hear(&self, asked: &Rc<Backend>, answer: &Answer, now: Instant) -> Said {
+    pub fn apply_answer(&self, asked: &Rc<Backend>, answer: &Answer, now: Instant) -> Said {
         let Some(speaker) = self.speaker(asked, answer) else {
             return Said::default();
         };
         let rest = answer
-            .rest()
+            .requested_backoff()
             .filter(|time| speaker.word.ask_rest(*time, now));
         Said {
             leaving: answer.leaving && self.leaves(&speaker, Source::Answer, now),
@@ -247,7 +247,7 @@
 
     /// Ends the rest that a server asked for, by the operator's word; returns whether
     /// there was one.
-    pub fn wake(&self, id: &ids::Server) -> bool {
+    pub fn cancel_backoff(&self, id: &ids::Server) -> bool {
         self.get(id).is_some_and(|it| it.word.end_rest())
     }
 
@@ -265,7 +265,7 @@
     pub fn withheld(&self, now: Instant) -> (usize, usize) {
         let servers = self.servers.borrow();
         let leaving = servers.values().filter(|it| it.word.leaving().is_some());
-        let resting = servers.values().filter(|it| it.rests(now));
+        let resting = servers.values().filter(|it| it.is_backing_off(now));
         (leaving.count(), resting.count())
     }
 
@@ -325,7 +325,7 @@
     /// Requests of this box under way in a hall.
     pub fn running_in(&self, hall: &ids::Hall) -> u32 {
         let mut sum = 0;
-        self.of_hall(hall, |backend| sum += backend.own());
+        self.of_hall(hall, |backend| sum += backend.in_flight());
         sum
     }
 
@@ -358,7 +358,7 @@
     /// Records that another server answers at a server's address: this life of
     /// it is over, whatever its entry says, and each further request there
     /// would be lost time and a retry.
-    pub fn supplant(&self, id: &ids::Server) {
+    pub fn mark_replaced(&self, id: &ids::Server) {
         if let Some(backend) = self.get(id) {
             backend.end();
             self.regroup(&backend.server.service);
@@ -386,7 +386,7 @@
     }
 
     /// Other servers whose entries name the same address: one of all is there.
-    pub fn at_address_of(&self, id: &ids::Server) -> Vec<ids::Server> {
+    pub fn sharing_address(&self, id: &ids::Server) -> Vec<ids::Server> {
         let servers = self.servers.borrow();
         let address = servers.get(id).map(|backend| backend.server.address);
         let addresses = self.addresses.borrow();
@@ -411,12 +411,13 @@
     /// Requests of this box under way, by server.
     pub fn running(&self) -> HashMap<Key, u32> {
         let servers = self.servers.borrow();
-        let busy = servers.values().filter(|backend| backend.own() > 0);
-        busy.map(|backend| (backend.key, backend.own())).collect()
+        let busy = servers.values().filter(|backend| backend.in_flight() > 0);
+        busy.map(|backend| (backend.key, backend.in_flight()))
+            .collect()
     }
 
     /// Records what so many other boxes have under way at all servers.
-    pub fn set_others(&self, requests: &HashMap<Key, u32>, boxes: u32, now: Instant) {
+    pub fn set_peer_in_flight(&self, requests: &HashMap<Key, u32>, boxes: u32, now: Instant) {
         for backend in self.servers.borrow().values() {
             let requests = requests.get(&backend.key).copied().unwrap_or(0);
             backend.set_others(requests, boxes, now);
@@ -435,9 +436,9 @@
     }
 
     /// How many servers of a service rest.
-    pub fn resting(&self, service: &ids::Service, now: Instant) -> usize {
+    pub fn backing_off(&self, service: &ids::Service, now: Instant) -> usize {
         let serving = self.serving(service);
-        serving.iter().filter(|it| it.rests(now)).count()
+        serving.iter().filter(|it| it.is_backing_off(now)).count()
     }
 
     /// How many servers of a service say that they leave.
@@ -478,10 +479,10 @@
         for backend in all {
             match backend.standing() {
                 // One that rests serves others.
-                Ok(()) | Err(Withheld::Resting) => serving.push(backend),
-                Err(Withheld::Emptied) => emptied.push(backend),
-                Err(Withheld::Leaving) => leaving += 1,
-                Err(Withheld::Gone) => {}
+                Ok(()) | Err(Ineligible::BackingOff) => serving.push(backend),
+                Err(Ineligible::Emptied) => emptied.push(backend),
+                Err(Ineligible::Leaving) => leaving += 1,
+                Err(Ineligible::Gone) => {}
             }
         }
         Group {
@@ -493,11 +494,11 @@
 }
 
 /// The rest that is over first, if all of these servers rest.
-pub fn first_over<'a>(
+pub fn earliest_backoff<'a>(
     servers: impl IntoIterator<Item = &'a Rc<Backend>>,
     now: Instant,
-) -> Option<Rest> {
+) -> Option<Backoff> {
     let rests = servers.into_iter().map(|it| it.rest(now));
-    let rests: Option<Vec<Rest>> = rests.collect();
+    let rests: Option<Vec<Backoff>> = rests.collect();
     rests?.into_iter().min_by_key(|rest| rest.until)
 }
--- a/crates/relay/src/fleet/parted.rs
+++ b/crates/relay/src/fleet/parted.rs
@@ -8,8 +8,8 @@
 use tidepier_core::server::Server;
 use tidepier_ids as ids;
 
+use super::advertisement::Advertisement;
 use super::backend::Backend;
-use super::word::Word;
 
 /// Servers that are kept, those that went last: over half of the 900 of the largest
 /// fleet that is planned for.
@@ -35,7 +35,7 @@
 
     /// What a server has said that announces itself: nothing, unless it is a life that
     /// had an entry before.
-    pub(super) fn word_of(&self, server: &Server) -> Rc<Word> {
+    pub(super) fn word_of(&self, server: &Server) -> Rc<Advertisement> {
         let known = self.0.borrow_mut().pop(&server.id);
         let known = known.filter(|it| it.is_life_of(server));
         known.map_or_else(Rc::default, |it| it.word.clone())
--- a/crates/relay/src/fleet/permit.rs
+++ b/crates/relay/src/fleet/permit.rs
@@ -4,15 +4,15 @@
 
 use tidepier_clock::Instant;
 
+use super::advertisement::Ineligible;
 use super::backend::Backend;
-use super::word::Withheld;
 
 /// That a server takes something new. There is none without having asked, and what
 /// sends takes one.
 pub struct Permit(Rc<Backend>);
 
 impl Permit {
-    pub(super) fn new(backend: &Rc<Backend>, now: Instant) -> Result<Self, Withheld> {
+    pub(super) fn new(backend: &Rc<Backend>, now: Instant) -> Result<Self, Ineligible> {
         backend.takes(now)?;
         Ok(Self(backend.clone()))
     }
@@ -27,7 +27,7 @@
     /// # Errors
     ///
     /// The server takes nothing new any more.
-    pub fn renewed(&self, now: Instant) -> Result<(), Withheld> {
+    pub fn renewed(&self, now: Instant) -> Result<(), Ineligible> {
         self.0.takes(now)
     }
 }
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -10,7 +10,7 @@
 //!
 //! * A proof bears a time before its question was sent.
 //! * After the store went back to an older copy, what was known stands until the
-//!   operator's entries are whole and servers have had their time ([`eras`]).
+//!   operator's entries are whole and servers have had their time (`eras`).
 //! * A server is dropped when its entry goes while the store can be relied on;
 //!   else a while after the store is back, if the entry is still missing
 //!   ([`doubt`]).
@@ -43,17 +43,17 @@
 use tidepier_platform::store::Client;
 
 use self::doubt::Doubt;
-pub use self::listing::Listing;
+pub use self::listing::Progress;
 use self::mark::Mark;
 use self::news::News;
-pub use self::pause::SCOUTS;
-use crate::emptied::Emptied;
+pub use self::pause::PROBING_BOXES;
+use crate::emptied_halls::EmptiedHalls;
+use crate::era_state::{Entry, Origin};
 use crate::fleet;
 use crate::message::follow::Row;
-use crate::notice::Notice;
-use crate::record::Record;
+use crate::notifier::Notifier;
 use crate::relay::Relay;
-use crate::standing::{Entry, Origin};
+use crate::server_history::History;
 
 /// Longest time for one call: a slow store answers within a few hundred ms.
 const CALL_TIME: Duration = Duration::from_millis(1_200);
@@ -71,11 +71,11 @@
     relay: Rc<Relay>,
     store: Rc<Client>,
     /// Notified when the store went back to an older copy.
-    era_changed: Notice,
+    era_changed: Notifier,
     /// Notified when something of a former era stands against what the store has.
-    held: Notice,
+    held: Notifier,
     /// Notified when other boxes were asked what they remember.
-    asked_others: Notice,
+    asked_others: Notifier,
     /// Where boxes keep the era in which they are.
     mark: Cell<Mark>,
     /// The configuration as the store has it.
@@ -87,10 +87,10 @@
     /// The one in force, for boxes that ask.
     document: RefCell<Rc<[u8]>>,
     /// The halls that the operator asked to empty.
-    emptied: Emptied,
+    emptied: EmptiedHalls,
     /// Notified when those changed.
-    emptied_changed: Notice,
-    record: Record,
+    emptied_changed: Notifier,
+    record: History,
     /// Servers whose entries may be older than what they said before the store went back.
     withheld: RefCell<BTreeMap<ids::Server, Row>>,
     /// Latest moment at which all that the store held was known here.
@@ -98,7 +98,7 @@
     /// Whether this box reads the store itself.
     reads_store: Cell<bool>,
     /// Notified when that changed.
-    role_changed: Notice,
+    role_changed: Notifier,
     /// Whether the servers are followed without a gap.
     servers_known: Cell<bool>,
     /// Whether what this box knows was confirmed once.
@@ -114,11 +114,11 @@
     /// Boxes of this hall that come before this one.
     boxes_before: Cell<u32>,
     /// Notified when the store is reachable again.
-    store_returned: Notice,
+    store_returned: Notifier,
     /// Changes of anything that other boxes are told.
-    touched: Cell<u64>,
+    change_count: Cell<u64>,
     /// Notified with each of them.
-    news: Notice,
+    news: Notifier,
 }
 
 impl Follower {
@@ -127,21 +127,21 @@
         Rc::new(Self {
             relay,
             store,
-            era_changed: Notice::default(),
-            held: Notice::default(),
-            asked_others: Notice::default(),
+            era_changed: Notifier::default(),
+            held: Notifier::default(),
+            asked_others: Notifier::default(),
             mark: Cell::default(),
             entry: Cell::new(None),
             operator_read: shared::Read::default(),
             state: Cell::default(),
             document: RefCell::new(Rc::new([])),
-            emptied: Emptied::default(),
-            emptied_changed: Notice::default(),
-            record: Record::default(),
+            emptied: EmptiedHalls::default(),
+            emptied_changed: Notifier::default(),
+            record: History::default(),
             withheld: RefCell::default(),
             followed: Cell::new(None),
             reads_store: Cell::new(false),
-            role_changed: Notice::default(),
+            role_changed: Notifier::default(),
             servers_known: Cell::new(false),
             informed: Cell::new(false),
             doubt: Doubt::default(),
@@ -149,9 +149,9 @@
             lost_in_silence: Cell::new(false),
             unanswered: Cell::new(None),
             boxes_before: Cell::new(0),
-            store_returned: Notice::default(),
-            touched: Cell::new(0),
-            news: Notice::default(),
+            store_returned: Notifier::default(),
+            change_count: Cell::new(0),
+            news: Notifier::default(),
         })
     }
 
@@ -161,7 +161,7 @@
     }
 
     /// Sets whether this box reads the store itself.
-    pub fn read_self(&self, why: &str, reads: bool) {
+    pub fn set_reads_store(&self, why: &str, reads: bool) {
         if self.reads_store.replace(reads) == reads {
             return;
         }
@@ -183,12 +183,12 @@
 
     /// Reads the store itself when what is known grows old, whatever the reason;
     /// does not end.
-    pub async fn look_at_age(self: Rc<Self>) {
+    pub async fn watch_age(self: Rc<Self>) {
         loop {
             Timer::after(AGE_LOOK).await;
             let known = self.known_since();
             if !self.reads_store.get() && known.is_some_and(|age| age > self.bound(OLD_PART)) {
-                self.read_self("old_proof", true);
+                self.set_reads_store("old_proof", true);
             }
         }
     }
@@ -217,7 +217,7 @@
     }
 
     /// Whether the store was unreachable until so lately that what it lacks may come back.
-    pub fn store_is_doubted(&self) -> bool {
+    pub fn in_grace_period(&self) -> bool {
         !self.doubt.is_over(Instant::now())
     }
 
@@ -238,19 +238,19 @@
 
     /// Records that what is known was the newest at `asked`.
     fn prove_at(&self, asked: Instant) {
-        self.relay.view.prove(asked);
+        self.relay.view.confirm_at(asked);
         self.touch();
     }
 
     /// Has those be told that wait for something new.
     fn touch(&self) {
-        self.touched.set(self.touched.get() + 1);
+        self.change_count.set(self.change_count.get() + 1);
         self.news.notify();
     }
 
     /// How often something new became known.
-    pub fn touched(&self) -> u64 {
-        self.touched.get()
+    pub fn change_count(&self) -> u64 {
+        self.change_count.get()
     }
 
     /// Waits for something new.
@@ -260,13 +260,13 @@
 
     /// Whether this box may wait until the one that it asks can vouch again: what it
     /// knows is recent, so that it need not read the store itself.
-    pub fn may_wait(&self) -> bool {
+    pub fn can_wait_for_peer(&self) -> bool {
         let age = self.known_since();
         !self.reads_store.get() && age.is_some_and(|age| age < self.bound(OLD_PART))
     }
 
     fn bound(&self, part: f64) -> Duration {
-        self.relay.bounds().confirm.mul_f64(part)
+        self.relay.bounds().confirm_within.mul_f64(part)
     }
 
     /// Revision of the configuration's entry in the store, if there is one.
@@ -291,7 +291,7 @@
     }
 
     /// How the servers changed.
-    pub fn record(&self) -> &Record {
+    pub fn record(&self) -> &History {
         &self.record
     }
 
@@ -321,14 +321,14 @@
         // boxes before 3,000 servers that all had just started, each question got a
         // whole list of them.
         if is_news || !self.record.refresh(&row) {
-            self.record.is(row);
+            self.record.upsert(row);
             self.touch();
         }
         let change = match change {
             fleet::Change::Joined => news::Change::Joined,
             fleet::Change::Restarted => news::Change::Restarted,
             fleet::Change::Leaving => news::Change::Leaving,
-            fleet::Change::Colder | fleet::Change::None => return,
+            fleet::Change::ColdForLonger | fleet::Change::None => return,
         };
         self.supplant_at(&id, revision);
         if let Some(backend) = self.relay.fleet.get(&id) {
@@ -343,14 +343,14 @@
     /// within two seconds, and 483 do with this. An entry alone supplants nobody:
     /// it may be another writer's.
     fn supplant_at(&self, id: &ids::Server, revision: Revision) {
-        if self.hold_servers().is_some() && self.relay.standing.origin(revision) == Origin::Copy {
+        if self.hold_servers().is_some() && self.relay.standing.origin(revision) == Origin::Backup {
             return;
         }
         let fleet = &self.relay.fleet;
-        for other in fleet.at_address_of(id) {
-            let was_absent = fleet.get(&other).is_some_and(|it| it.was_absent());
+        for other in fleet.sharing_address(id) {
+            let was_absent = fleet.get(&other).is_some_and(|it| it.was_unreachable());
             if was_absent && !self.record.is_newer(&other, revision) {
-                fleet.supplant(&other);
+                fleet.mark_replaced(&other);
             }
         }
     }
@@ -410,7 +410,7 @@
 
     fn mark_reachable(&self) {
         self.informed.set(true);
-        let contact = self.relay.bounds().contact;
+        let contact = self.relay.bounds().grace_period;
         if self.doubt.back(Instant::now(), contact) {
             log::info!(target: "belief", "event=store_back");
             self.store_returned.notify();
--- a/crates/relay/src/follow/boxes.rs
+++ b/crates/relay/src/follow/boxes.rs
@@ -15,15 +15,15 @@
 use tidepier_core::era::{Era, Revision};
 use tidepier_ids as ids;
 
-use super::listing::Listing;
+use super::listing::Progress;
 use super::news::{self, News};
 use super::Follower;
-use crate::emptied;
-use crate::message::follow::{self, Answer, Ask, Position, Row, Servers, Standing};
+use crate::emptied_halls;
+use crate::era_state::{Entry, Evidence};
+use crate::message::follow::{self, Answer, Position, Request, Row, Servers, Status};
 use crate::message::link::Error;
 use crate::message::part::Part;
-use crate::record::Place;
-use crate::standing::{Entry, Ground};
+use crate::server_history::Cursor;
 
 /// Age of a proof, as a part of the time in which a change has to be in force
 /// everywhere, from which a box's answers to others no longer count as current.
@@ -31,9 +31,9 @@
 
 impl Follower {
     /// The configuration in force here, for a box that asks and has an older one.
-    pub fn document_for(&self, ask: &Ask) -> Option<Rc<[u8]>> {
+    pub fn document_for(&self, ask: &Request) -> Option<Rc<[u8]>> {
         let in_force = self.in_force()?;
-        let asked = ask.more.as_ref().and_then(|more| more.in_force);
+        let asked = ask.options.as_ref().and_then(|more| more.in_force);
         let newer = match asked {
             Some(version) => in_force > Version(version),
             None => self.revision().number() > ask.document,
@@ -42,12 +42,12 @@
     }
 
     /// How far the store is known that this box's word is from.
-    pub fn told_standing(&self, now: Instant) -> Standing {
+    pub fn advertised_status(&self, now: Instant) -> Status {
         let whole = !self.reads_store.get() || self.servers_known.get();
         let age = self.followed_age(now);
         let age = age.filter(|age| whole && *age < self.bound(PASS_ON_PART));
         let stored = self.entry.get().map(|entry| entry.version);
-        Standing {
+        Status {
             era: self.relay.standing.era().unwrap_or_default().0,
             first: self.relay.standing.first(),
             settled: self.relay.standing.is_settled(),
@@ -70,8 +70,8 @@
             Servers::All(rows, _) => rows.iter_mut().for_each(fresh),
             Servers::Changes(changes) => {
                 let rows = changes.iter_mut().filter_map(|change| match change {
-                    follow::Change::Is(row) => Some(row),
-                    follow::Change::Gone(..) => None,
+                    follow::Change::Upserted(row) => Some(row),
+                    follow::Change::Removed(..) => None,
                 });
                 rows.for_each(fresh);
             }
@@ -82,7 +82,7 @@
     }
 
     /// What a box that asks for parts lacks of the servers, and its position after that.
-    pub fn servers_part(&self, place: &Place) -> (Part, Position) {
+    pub fn servers_part(&self, place: &Cursor) -> (Part, Position) {
         let now = Instant::now();
         let cold = |id: &ids::Server| {
             let backend = self.relay.fleet.get(id);
@@ -94,49 +94,49 @@
     }
 
     /// The halls that the operator asked to empty, as far as this box knows.
-    pub fn emptied(&self) -> emptied::List {
+    pub fn emptied(&self) -> emptied_halls::List {
         self.emptied.list()
     }
 
     /// How long ago all that this box knows was provably the newest; `None`
     /// when it cannot confirm that.
-    pub fn proven_age(&self, now: Instant) -> Option<Duration> {
+    pub fn shareable_age(&self, now: Instant) -> Option<Duration> {
         let whole = !self.reads_store.get() || self.servers_known.get();
         let age = self.relay.view.age_at(now)?;
         (whole && age < self.bound(PASS_ON_PART)).then_some(age)
     }
 
     /// How long ago the configuration in force here was provably the newest.
-    pub fn known_age(&self, now: Instant) -> Option<Duration> {
+    pub fn confirmed_age(&self, now: Instant) -> Option<Duration> {
         self.relay.view.age_at(now)
     }
 
     /// Whether this box has confirmed what it knows, at the store or at a box
     /// of its hall that vouches for it.
-    pub fn is_informed(&self) -> bool {
+    pub fn is_synced(&self) -> bool {
         self.informed.get()
     }
 
     /// Takes over the servers and the emptied halls of an answer whose
     /// configuration is still to come, and leaves the rest of it to
-    /// [`take_answer`](Self::take_answer). `listing` is what was got so far of a list
+    /// [`apply_answer`](Self::apply_answer). `listing` is what was got so far of a list
     /// of all servers; while there is one, the servers are not known.
     ///
     /// # Errors
     ///
     /// The other box cannot confirm that what it knows is current, or follows a former
     /// era of the store.
-    pub fn hear_servers(
+    pub fn apply_partial_answer(
         &self,
         answer: &mut Answer,
-        listing: &mut Option<Listing>,
+        listing: &mut Option<Progress>,
     ) -> Result<(), Error> {
-        followed(answer).ok_or(Error::Unsure)?;
+        followed(answer).ok_or(Error::Unconfirmed)?;
         let era = self.hear_era(answer)?;
         if answer.standing.is_none() {
             *answer = answer.clone().in_era(era);
         }
-        let emptied = answer.emptied.as_ref().ok_or(Error::Unsure)?;
+        let emptied = answer.emptied.as_ref().ok_or(Error::Unconfirmed)?;
         self.take_emptied(emptied);
         if let Servers::Part(part) = &answer.servers {
             self.take_part(part, listing);
@@ -161,13 +161,13 @@
         let Some(told) = answer.standing else {
             let changed = self.relay.standing.has_changed();
             return if changed {
-                Err(Error::Former)
+                Err(Error::StaleEra)
             } else {
                 Ok(known.unwrap_or_default())
             };
         };
         if known.is_some_and(|known| Era(told.era) < known) {
-            return Err(Error::Former);
+            return Err(Error::StaleEra);
         }
         // One that has not heard of any state tells none.
         if told.first > 0 {
@@ -183,19 +183,19 @@
     ///
     /// The other box cannot confirm that what it knows is current, or follows a former
     /// era of the store.
-    pub fn take_answer(
+    pub fn apply_answer(
         &self,
         answer: Answer,
         document: Option<Vec<u8>>,
         asked: Instant,
     ) -> Result<(), Error> {
-        let age = followed(&answer).ok_or(Error::Unsure)?;
+        let age = followed(&answer).ok_or(Error::Unconfirmed)?;
         let era = self.hear_era(&answer)?;
         let answer = match answer.standing {
             Some(_) => answer,
             None => answer.in_era(era),
         };
-        let emptied = answer.emptied.as_ref().ok_or(Error::Unsure)?;
+        let emptied = answer.emptied.as_ref().ok_or(Error::Unconfirmed)?;
         // The other box reads the store now: what this one thought of it is
         // over. It may become a reader again long after.
         self.mark_reachable();
@@ -207,7 +207,7 @@
             self.follow_since(asked.checked_sub(age).unwrap_or(asked));
         }
         if answer.standing.is_some_and(|standing| standing.settled) {
-            self.settle(Ground::Told);
+            self.settle(Evidence::Report);
         }
         let proven = match answer.standing {
             Some(_) => answer.known_ms.map(Duration::from_millis),
@@ -256,7 +256,7 @@
     ///
     /// The other box knows nothing either, sent no valid configuration, or follows a
     /// former era of the store.
-    pub fn take_seed(
+    pub fn apply_seed(
         &self,
         answer: Answer,
         document: Option<Vec<u8>>,
@@ -269,7 +269,7 @@
         };
         let known = self.take_told(&answer, document, era);
         if !known || self.in_force().is_none() {
-            return Err(Error::Unsure);
+            return Err(Error::Unconfirmed);
         }
         let emptied = answer.emptied.unwrap_or_default();
         let halls_known = self.take_emptied(&emptied);
@@ -277,7 +277,7 @@
         self.take_rows(answer.servers, era);
         // An entry that is absent when the store is back may have lapsed.
         self.mark_unreachable(asked);
-        self.read_self("seeded", true);
+        self.set_reads_store("seeded", true);
         if let Some(age) = answer.known_ms.filter(|_| halls_known) {
             self.prove_from(asked, Duration::from_millis(age));
         }
@@ -287,7 +287,7 @@
     /// Takes over what any box knows of what the operator wrote, while this one cannot
     /// tell whether the store has all of it: a higher version, halls to be emptied,
     /// orders, and whether the operator's entries are whole in this era.
-    pub fn take_memory(&self, answer: &Answer, document: Option<Vec<u8>>, asked: Instant) {
+    pub fn apply_recalled(&self, answer: &Answer, document: Option<Vec<u8>>, asked: Instant) {
         let Some(told) = answer.standing else {
             return;
         };
@@ -311,7 +311,7 @@
         let proven = answer.known_ms.map(Duration::from_millis);
         let recent = proven.filter(|age| *age < self.bound(PASS_ON_PART));
         if let Some(age) = recent.filter(|_| told.settled && same_era && knows) {
-            self.settle(Ground::Told);
+            self.settle(Evidence::Report);
             self.prove_from(asked, age);
         }
     }
@@ -324,24 +324,24 @@
     }
 
     /// Takes over the configuration of an answer that is not the last one of a list.
-    pub fn hear_document(&self, answer: &Answer, document: Option<Vec<u8>>) {
+    pub fn apply_document(&self, answer: &Answer, document: Option<Vec<u8>>) {
         if let Some(document) = document {
             self.take_document(document, Revision::of(answer.revision));
         }
     }
 
-    fn take_part(&self, part: &Part, listing: &mut Option<Listing>) {
+    fn take_part(&self, part: &Part, listing: &mut Option<Progress>) {
         let mut news = News::new();
         let Some(piece) = &part.piece else {
             self.take_changes(part, &mut news);
-            self.record.confirm(part.whole());
+            self.record.confirm(part.complete_revision());
             news.tell();
             return;
         };
         if piece.first {
-            *listing = Some(Listing {
-                seen: part.whole(),
-                ..Listing::default()
+            *listing = Some(Progress {
+                seen: part.complete_revision(),
+                ..Progress::default()
             });
         }
         // One that does not begin with its first piece is of another question.
@@ -379,8 +379,10 @@
                 self.take_changes(&part, &mut news);
             }
             Servers::Changes(changes) => changes.into_iter().for_each(|change| match change {
-                follow::Change::Is(row) => self.announced(row, &mut news),
-                follow::Change::Gone(id, seen) => self.reported_gone(&id, of_era(seen), &mut news),
+                follow::Change::Upserted(row) => self.announced(row, &mut news),
+                follow::Change::Removed(id, seen) => {
+                    self.reported_gone(&id, of_era(seen), &mut news)
+                }
             }),
             Servers::All(rows, seen) => self.take_all(rows, of_era(seen), &mut news),
         }
--- a/crates/relay/src/follow/catalog.rs
+++ b/crates/relay/src/follow/catalog.rs
@@ -14,7 +14,7 @@
 use super::mark::{self, Mark};
 use super::pause::Pause;
 use super::{Follower, CALL_TIME, PROOF_PART};
-use crate::standing::Entry;
+use crate::era_state::Entry;
 
 /// Longest time for a change of nothing: a slow store answers within a quarter
 /// of a second, and a read still has to fit into the bound on keys.
@@ -174,7 +174,7 @@
 
     /// Asks at a steady pace whether the catalog in force is the newest, while
     /// this box reads the store; does not end.
-    pub async fn prove(self: Rc<Self>) {
+    pub async fn run_freshness_checks(self: Rc<Self>) {
         let mut pause = Pause::default();
         loop {
             self.reading().await;
@@ -260,12 +260,12 @@
                 if self.revision() == asking.revision {
                     self.see_state(state);
                     self.confirm(asked);
-                    self.relay.rollouts.prove(asked);
+                    self.relay.rollouts.confirm_at(asked);
                 }
             }
             // What holds by chance in another era proves nothing, nor does what is told
             // without the state that it is of begin one.
-            Swap::OtherEra => return self.read_operator(CALL_TIME).await.map(|_| ()),
+            Swap::EraChanged => return self.read_operator(CALL_TIME).await.map(|_| ()),
             Swap::Conflict(Current::Items(items)) => {
                 let era = self.relay.standing.era();
                 let is_other = items.iter().any(|it| Some(it.revision.era()) != era);
@@ -276,7 +276,7 @@
                     self.take_mark(Some(mark));
                 }
                 self.take_named_stages(&items);
-                self.relay.rollouts.prove(asked);
+                self.relay.rollouts.confirm_at(asked);
                 let entry = items.into_iter().find(|item| item.key == key::CONFIG);
                 let taken = match entry {
                     Some(item) => self.take_entry(item.revision, item.value),
@@ -286,7 +286,7 @@
                     self.confirm(asked);
                 }
             }
-            Swap::Conflict(Current::Untold) | Swap::NoLease => {}
+            Swap::Conflict(Current::NotReported) | Swap::LeaseExpired => {}
         }
         Ok(())
     }
--- a/crates/relay/src/follow/eras.rs
+++ b/crates/relay/src/follow/eras.rs
@@ -16,7 +16,7 @@
 use super::mark::{self, Mark};
 use super::news::News;
 use super::{Follower, CALL_TIME};
-use crate::standing::{Before, Entry, Ground, Hold, Waits};
+use crate::era_state::{Entry, Evidence, Precedence, Prior, Waits};
 
 /// Time between two checks whether the time is over for which something stands.
 const BELIEF_LOOK: Duration = Duration::from_millis(250);
@@ -31,21 +31,21 @@
     /// What the operator had asked of halls stands for a while where the store went back.
     /// One that was emptied long ago, as far as this box knows, may be in use again: held
     /// empty by several boxes, it left the other servers crowded.
-    pub(super) fn hold_halls(&self) -> Option<Hold> {
-        let within = self.relay.bounds().rewrite;
+    pub(super) fn hold_halls(&self) -> Option<Precedence> {
+        let within = self.relay.bounds().rewrite_within;
         let standing = &self.relay.standing;
         standing.hold_recent(within, Instant::now())
     }
 
     /// What the operator had ordered stands for a while where the store went back.
-    pub(super) fn hold(&self) -> Option<Hold> {
-        let within = self.relay.bounds().rewrite;
+    pub(super) fn hold(&self) -> Option<Precedence> {
+        let within = self.relay.bounds().rewrite_within;
         self.relay.standing.hold(within, Instant::now())
     }
 
     /// The same of what servers had said: one that is silent loses its entry within this.
-    pub(super) fn hold_servers(&self) -> Option<Hold> {
-        let within = self.relay.bounds().silence;
+    pub(super) fn hold_servers(&self) -> Option<Precedence> {
+        let within = self.relay.bounds().entry_ttl;
         self.relay.standing.hold(within, Instant::now())
     }
 
@@ -53,13 +53,13 @@
     /// One of a later era ends what was followed of the former one.
     pub(super) fn hear_state(&self, state: Revision) {
         let (former, now) = (self.relay.standing.era(), Instant::now());
-        let before = Before {
+        let before = Prior {
             in_force: self.in_force(),
             entry: self.entry.get(),
             state: self.state.get(),
             age: self.followed_age(now),
         };
-        if !self.relay.standing.hear(state, before, now) {
+        if !self.relay.standing.observe(state, before, now) {
             return;
         }
         let era = state.era();
@@ -81,7 +81,7 @@
         self.relay.rollouts.restored();
         self.withheld.borrow_mut().clear();
         let answered = self.answered.get().unwrap_or(now);
-        let contact = self.relay.bounds().contact;
+        let contact = self.relay.bounds().grace_period;
         self.doubt.restored(answered, now, contact);
         // Watches of the former era end, and what goes missing is waited for.
         self.store_returned.notify();
@@ -95,12 +95,12 @@
         self.follow_since(asked);
         let bounds = self.relay.bounds();
         let waits = Waits {
-            stable: bounds.contact,
-            rewrite: bounds.rewrite,
+            stable: bounds.grace_period,
+            rewrite: bounds.rewrite_within,
         };
         let (stored, in_force) = (self.entry.get(), self.in_force());
         let standing = &self.relay.standing;
-        let ground = standing.weigh(stored, in_force, waits, asked);
+        let ground = standing.evaluate(stored, in_force, waits, asked);
         if let Some(ground) = ground {
             self.settle(ground);
         }
@@ -110,7 +110,7 @@
     }
 
     /// Records that the operator's entries are whole in this era.
-    pub(super) fn settle(&self, ground: Ground) {
+    pub(super) fn settle(&self, ground: Evidence) {
         if !self.relay.standing.settle(ground) {
             return;
         }
@@ -133,7 +133,7 @@
     }
 
     /// Waits until this box reads a store whose operator's entries may not be whole.
-    pub async fn opened(&self) {
+    pub async fn wait_until_unsettled(&self) {
         loop {
             let heard = self.relay.standing.era().is_some();
             if heard && self.relay.standing.is_open() && self.reads_store.get() {
@@ -144,7 +144,7 @@
     }
 
     /// Waits until the store goes back to an older copy.
-    pub async fn restored(&self) {
+    pub async fn wait_for_restore(&self) {
         loop {
             self.era_changed.wait().await;
             if self.relay.standing.has_changed() {
@@ -154,7 +154,7 @@
     }
 
     /// Records that other boxes were asked what they remember.
-    pub fn recalled(&self) {
+    pub fn note_recall(&self) {
         self.relay.standing.ask();
         self.asked_others.notify();
     }
@@ -176,7 +176,7 @@
         self.mark.set(mark);
         let era = mark.revision.era();
         if mark.names(era) && self.relay.standing.era() == Some(era) {
-            self.settle(Ground::Told);
+            self.settle(Evidence::Report);
         }
     }
 
@@ -200,7 +200,7 @@
 
     /// Has the operator's entries hold as the store has them, once the time is over to
     /// write again what it lost; does not end.
-    pub async fn believe_entries(self: Rc<Self>) {
+    pub async fn expire_held_entries(self: Rc<Self>) {
         loop {
             if self.is_as_stored() {
                 self.held.wait().await;
@@ -221,7 +221,7 @@
 
     /// Has servers that the store went back on stand as it says, once those that live
     /// have had the time to say otherwise; does not end.
-    pub async fn believe_copies(self: Rc<Self>) {
+    pub async fn release_withheld_servers(self: Rc<Self>) {
         loop {
             if self.withheld.borrow().is_empty() {
                 self.held.wait().await;
--- a/crates/relay/src/follow/halls.rs
+++ b/crates/relay/src/follow/halls.rs
@@ -11,7 +11,7 @@
 use tidepier_platform::key;
 
 use super::Follower;
-use crate::emptied::{List, Row};
+use crate::emptied_halls::{List, Row};
 
 /// Time between two looks at what still runs in halls that are to be empty.
 const LOOK_TIME: Duration = Duration::from_millis(500);
@@ -95,7 +95,7 @@
 
     /// Tells by metrics and log what still runs in halls that are to be empty;
     /// does not end.
-    pub async fn emptying(self: Rc<Self>) {
+    pub async fn report_emptying(self: Rc<Self>) {
         loop {
             self.emptied_changed.wait().await;
             let mut busy = self.emptied.halls();
--- a/crates/relay/src/follow/listing.rs
+++ b/crates/relay/src/follow/listing.rs
@@ -7,7 +7,7 @@
 
 /// What a box has got so far of a list of all servers.
 #[derive(Debug, Default)]
-pub struct Listing {
+pub struct Progress {
     /// Revision up to which the other box knew all as the list began.
     pub(super) seen: Revision,
     pub(super) present: HashSet<ids::Server>,
--- a/crates/relay/src/follow/pause.rs
+++ b/crates/relay/src/follow/pause.rs
@@ -12,7 +12,7 @@
 
 /// Boxes of a hall that the others ask while the store is unreachable: they
 /// call it often, so that its return is noticed soon.
-pub const SCOUTS: u32 = 2;
+pub const PROBING_BOXES: u32 = 2;
 /// Time between the beginnings of two calls of such a box: what it costs to
 /// notice the return is a small part of the time in which entries come back.
 const SCOUT_TIME: Duration = Duration::from_millis(350);
@@ -49,7 +49,7 @@
     /// the store and inform it.
     pub(super) async fn rest_behind(&mut self, behind: u32, asked: Instant) {
         let grown = self.grown();
-        if behind < SCOUTS {
+        if behind < PROBING_BOXES {
             let left = SCOUT_TIME.saturating_sub(asked.elapsed());
             jittered(left.max(SCOUT_PAUSE)).await;
         } else {
--- a/crates/relay/src/follow/rollouts.rs
+++ b/crates/relay/src/follow/rollouts.rs
@@ -33,7 +33,7 @@
             Event::Put(item) => self.take_order(item),
             Event::Delete { key, revision } => {
                 if let Some(service) = service(key) {
-                    self.relay.rollouts.take_back(&service, *revision);
+                    self.relay.rollouts.cancel(&service, *revision);
                 }
             }
         }
@@ -91,7 +91,7 @@
         for known in self.relay.rollouts.all() {
             let key = stage::key(&known.order.service);
             if !items.iter().any(|item| item.key == key) {
-                self.relay.rollouts.unstaged(&known.order.service);
+                self.relay.rollouts.stage_missing(&known.order.service);
             }
         }
         self.take_stages(items);
@@ -126,7 +126,7 @@
         let same = self.relay.rollouts.merge(list, self.hold(), Instant::now());
         let age = list.age_ms.filter(|_| same).map(Duration::from_millis);
         if let Some(proven) = age.and_then(|age| asked.checked_sub(age)) {
-            self.relay.rollouts.prove(proven);
+            self.relay.rollouts.confirm_at(proven);
         }
     }
 }
--- a/crates/relay/src/follow/servers.rs
+++ b/crates/relay/src/follow/servers.rs
@@ -11,7 +11,7 @@
 use tidepier_platform::{key, server};
 
 use super::news::{self, News};
-use super::pause::{Pause, SCOUTS};
+use super::pause::{Pause, PROBING_BOXES};
 use super::{Follower, CALL_TIME};
 use crate::message::follow::Row;
 use crate::timeout;
@@ -41,7 +41,7 @@
         let mut pause = Pause::default();
         loop {
             self.ready_to_read().await;
-            let known = self.record.whole();
+            let known = self.record.complete_revision();
             if !known.is_none() && self.watch_servers(known, Resumes::Yes).await {
                 self.servers_known.set(false);
                 pause.reset();
@@ -72,10 +72,10 @@
     /// cannot be relied on in what it lacks. All boxes of a hall begin to read when they
     /// lose sight of the store, and after a return from an older copy no watch goes on.
     async fn leave_to_readers(&self) {
-        if self.boxes_before.get() < SCOUTS || self.record.whole().is_none() {
+        if self.boxes_before.get() < PROBING_BOXES || self.record.complete_revision().is_none() {
             return;
         }
-        while self.reads_store.get() && self.store_is_doubted() {
+        while self.reads_store.get() && self.in_grace_period() {
             timeout::within(LAPSE_LOOK, self.role_changed.wait()).await;
         }
     }
@@ -175,7 +175,7 @@
 
     /// Drops servers whose entries stay missing after the store is back; does
     /// not end.
-    pub async fn lapses(self: Rc<Self>) {
+    pub async fn drop_lapsed_servers(self: Rc<Self>) {
         loop {
             self.store_returned.wait().await;
             // The store may go and come back again meanwhile.
@@ -184,7 +184,7 @@
             }
             let mut news = News::new();
             for id in self.relay.fleet.missing() {
-                let seen = self.record.seen();
+                let seen = self.record.newest_revision();
                 self.drop_server(&id, seen, news::Change::Lapsed, &mut news);
             }
             news.tell();
--- a/crates/relay/src/follow/shared.rs
+++ b/crates/relay/src/follow/shared.rs
@@ -6,7 +6,7 @@
 use tidepier_clock::Instant;
 use tidepier_core::era::Revision;
 
-use crate::notice::Notice;
+use crate::notifier::Notifier;
 
 /// Whether a read is under way, and what the last one found.
 #[derive(Default)]
@@ -14,7 +14,7 @@
     under_way: Cell<bool>,
     found: Cell<Option<Revision>>,
     at: Cell<Option<Instant>>,
-    ended: Notice,
+    ended: Notifier,
 }
 
 impl Read {
--- a/crates/relay/src/health.rs
+++ b/crates/relay/src/health.rs
@@ -43,14 +43,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// Whole answer, or a refusal that is no failure.
-    Good,
+    Succeeded,
     /// An error, a broken or spoiled answer.
-    Bad,
+    Errored,
     /// Nobody is there: the connection was refused, or another server has the
     /// address.
-    Absent,
+    NotListening,
     /// Silence, on one connection or while opening it.
-    Silent,
+    Unresponsive,
 }
 
 /// A figure that was set at one moment and fades from then on.
@@ -87,7 +87,7 @@
     /// Requests that it turned away since it took one.
     turned: Fading,
     /// Mean time to an answer in ms.
-    time_ms: Cell<Option<f64>>,
+    mean_latency_ms: Cell<Option<f64>>,
     /// When an answer last began.
     timed: Cell<Option<Instant>>,
 }
@@ -96,7 +96,7 @@
     /// Records how a request ended.
     pub fn record(&self, outcome: Outcome, now: Instant) {
         self.probed.set(None);
-        let failed = outcome != Outcome::Good;
+        let failed = outcome != Outcome::Succeeded;
         let rate = self.failure_rate(now);
         let sample = if failed { 1.0 } else { 0.0 };
         let rate = rate + RATE_WEIGHT * (sample - rate);
@@ -108,8 +108,8 @@
             return;
         }
         let weight = match outcome {
-            Outcome::Absent | Outcome::Silent => 2,
-            Outcome::Good | Outcome::Bad => 1,
+            Outcome::NotListening | Outcome::Unresponsive => 2,
+            Outcome::Succeeded | Outcome::Errored => 1,
         };
         self.in_row.set(self.in_row.get() + weight);
         if self.in_row.get() >= FAILURES_MAX {
@@ -120,33 +120,34 @@
     }
 
     /// Records the time to an answer, without that of reading a prompt.
-    pub fn took(&self, time: Duration, now: Instant) {
+    pub fn record_latency(&self, time: Duration, now: Instant) {
         self.turned.set(0.0, now);
         let sample = time.as_secs_f64() * 1e3;
-        let mean = self.time_ms.get().unwrap_or(sample);
-        self.time_ms.set(Some(mean + TIME_WEIGHT * (sample - mean)));
+        let mean = self.mean_latency_ms.get().unwrap_or(sample);
+        self.mean_latency_ms
+            .set(Some(mean + TIME_WEIGHT * (sample - mean)));
         self.timed.set(Some(now));
     }
 
     /// Records that it turned a request away.
-    pub fn turned_away(&self, now: Instant) {
-        let turned = self.turned_lately(now) + 1.0;
+    pub fn record_rejection(&self, now: Instant) {
+        let turned = self.recent_rejections(now) + 1.0;
         self.turned.set(turned.min(TURNED_MAX), now);
     }
 
     /// Requests that it turned away lately and since it took one.
-    pub fn turned_lately(&self, now: Instant) -> f64 {
+    pub fn recent_rejections(&self, now: Instant) -> f64 {
         self.turned.left(TURNED_HALVES, now)
     }
 
     /// Mean time to an answer in ms, once one is known.
-    pub fn time_ms(&self) -> Option<f64> {
-        self.time_ms.get()
+    pub fn mean_latency_ms(&self) -> Option<f64> {
+        self.mean_latency_ms.get()
     }
 
     /// Time to an answer in ms that is to be reckoned with, given the usual one.
-    pub fn expected_ms(&self, usual_ms: f64, now: Instant) -> f64 {
-        let known = self.time_ms.get().zip(self.timed.get());
+    pub fn expected_latency_ms(&self, usual_ms: f64, now: Instant) -> f64 {
+        let known = self.mean_latency_ms.get().zip(self.timed.get());
         known.map_or(usual_ms, |(time, at)| {
             usual_ms + (time - usual_ms) * part_left(at, TIME_HALVES, now)
         })
@@ -154,10 +155,10 @@
 
     /// Mean time to an answer in ms, if an answer began lately: a server that is avoided for being
     /// slow is tried again after a while.
-    pub fn recent_ms(&self, now: Instant) -> Option<f64> {
+    pub fn recent_latency_ms(&self, now: Instant) -> Option<f64> {
         let timed = self.timed.get()?;
         let recent = now.duration_since(timed) < TIMED_WITHIN;
-        self.time_ms.get().filter(|_| recent)
+        self.mean_latency_ms.get().filter(|_| recent)
     }
 
     /// Share of recent requests that failed.
@@ -166,7 +167,7 @@
     }
 
     /// Whether the last request there did not fail.
-    pub fn is_sound(&self) -> bool {
+    pub fn last_succeeded(&self) -> bool {
         self.in_row.get() == 0
     }
 
--- a/crates/relay/src/places.rs
+++ b/crates/relay/src/locations.rs
@@ -43,7 +43,7 @@
     /// Those that the server reads.
     pub read: f64,
     /// Those that it may have to read, by all that is known.
-    pub unproven: u32,
+    pub unconfirmed: u32,
 }
 
 impl Lack {
@@ -54,7 +54,7 @@
 }
 
 /// Where one prompt's parts are kept, as far as this box can tell.
-pub struct Places<'a> {
+pub struct Locations<'a> {
     prompt: &'a Prompt,
     /// Servers known to keep each shared part, the one used last first.
     by_part: Vec<Vec<Key>>,
@@ -72,7 +72,7 @@
     expected: f64,
 }
 
-impl<'a> Places<'a> {
+impl<'a> Locations<'a> {
     /// Where the parts of a prompt at a service are kept; `candidate` says whether
     /// the request may go to a server, or go there again.
     pub fn new(
@@ -104,7 +104,7 @@
             first,
             likely,
             sources,
-            expected: index.coverage.asked_before(),
+            expected: index.coverage.seen_before(),
         }
     }
 
@@ -127,7 +127,7 @@
     }
 
     /// Tokens of the prompt's shared parts that a server is expected to lack.
-    pub fn lacking(&self, server: Key) -> Lack {
+    pub fn missing_tokens(&self, server: Key) -> Lack {
         let likely = self.rank(server).map_or(0.0, |rank| self.likely[rank]);
         let proven = self.proven(server);
         let kept = self.known_source(server, proven);
@@ -138,7 +138,7 @@
         Lack {
             copied: expected(copied),
             read: expected(read),
-            unproven: copied + read,
+            unconfirmed: copied + read,
         }
     }
 
@@ -161,7 +161,7 @@
     /// placements. What an engine turns out not to keep is not copied from it.
     /// By the engines' counts, 295 boxes before 240 of them had 12.5 instead of
     /// 22.4 million tokens read again in 41 s, and copied twice as much.
-    pub fn source(&self, server: Key) -> Option<&Rc<Backend>> {
+    pub fn copy_source(&self, server: Key) -> Option<&Rc<Backend>> {
         let shared = self.prompt.shared();
         let proven = self.proven(server);
         let lacking = tokens(&shared[proven..]);
--- a/crates/relay/src/places/order.rs
+++ b/crates/relay/src/locations/order.rs
@@ -38,7 +38,7 @@
     /// Those that take requests of this box.
     pub(super) fn serving(&self) -> impl Iterator<Item = &Rc<Backend>> {
         let servers = self.servers.iter();
-        servers.filter(|backend| backend.serves() && backend.is_usable(self.now))
+        servers.filter(|backend| backend.accepts_requests() && backend.is_healthy(self.now))
     }
 
     /// The engine that should have kept the subject until a server gets it: the
@@ -59,7 +59,7 @@
     /// Whether any of these servers is known here and not avoided.
     pub(super) fn has_any(&self, servers: &[Key]) -> bool {
         let mut known = servers.iter().filter_map(|key| self.find(*key));
-        known.any(|backend| backend.is_usable(self.now))
+        known.any(|backend| backend.is_healthy(self.now))
     }
 
     /// A server that others may copy from, if it is known here.
@@ -72,7 +72,9 @@
     /// third of the engines crash (919 of 1,022; 52,129 requests). One that asked this
     /// box for rest lends nothing on its word either.
     fn lends(&self, backend: &Backend) -> bool {
-        backend.is_usable(self.now) && backend.health.is_sound() && !backend.rests(self.now)
+        backend.is_healthy(self.now)
+            && backend.health.last_succeeded()
+            && !backend.is_backing_off(self.now)
     }
 
     fn find(&self, key: Key) -> Option<&Rc<Backend>> {
--- a/crates/relay/src/message/follow.rs
+++ b/crates/relay/src/message/follow.rs
@@ -8,13 +8,13 @@
 use super::boxes;
 use super::part::Part;
 pub use super::row::Row;
-use crate::emptied;
+use crate::emptied_halls;
+use crate::revision_serde;
 use crate::rollout;
-use crate::stamp;
 
 /// A question of a box to the one that reads the store.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
-pub struct Ask {
+pub struct Request {
     /// [`VERSION`](super::VERSION) of the sender.
     pub version: u16,
     /// Comes back in the answer.
@@ -25,13 +25,13 @@
     /// Where the sender stands in the other's record of servers.
     pub position: Position,
     /// What a sender of this form asks beyond that; `None`: one of an older form.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub more: Option<More>,
+    #[serde(rename = "more", default, skip_serializing_if = "Option::is_none")]
+    pub options: Option<Options>,
 }
 
 /// What a sender that takes servers in parts asks.
 #[derive(Debug, Clone, Default, Serialize, Deserialize, PartialEq)]
-pub struct More {
+pub struct Options {
     /// The last server that the sender has got of a list of all; `None`: it is not in
     /// the midst of one.
     pub after: Option<ids::Server>,
@@ -39,7 +39,7 @@
     /// it does not.
     pub whole: u64,
     /// The era of that revision.
-    #[serde(default, skip_serializing_if = "stamp::is_only")]
+    #[serde(default, skip_serializing_if = "revision_serde::is_default_era")]
     pub era: u64,
     /// The version in force at the sender, 0 where there is none; `None`: the sender
     /// knows no eras.
@@ -54,7 +54,7 @@
     pub wait_ms: u32,
 }
 
-impl More {
+impl Options {
     /// Revision of the store up to which the sender knows all servers, if it does.
     pub fn whole(&self) -> Revision {
         Revision::new(Era(self.era), self.whole)
@@ -89,14 +89,14 @@
     pub revision: u64,
     /// How far the sender's store is known; `None`: the sender knows no eras.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub standing: Option<Standing>,
+    pub standing: Option<Status>,
     /// Bytes of that entry, which follow this message as they are, where the
     /// other knows an older one.
     pub document_bytes: Option<u32>,
     /// The halls that are to be empty. `None`: a sender of an older form, which
     /// does not know them.
     #[serde(default)]
-    pub emptied: Option<emptied::List>,
+    pub emptied: Option<emptied_halls::List>,
     /// The operator's orders to move services. `None`: a sender of an older form, which
     /// does not know them.
     #[serde(default)]
@@ -125,7 +125,7 @@
 
 /// How far the store is known that an answer is from.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize, PartialEq, Eq)]
-pub struct Standing {
+pub struct Status {
     /// The era of the store that the answer's revisions are of, unless they tell
     /// another.
     pub era: u64,
@@ -143,7 +143,7 @@
     pub followed_ms: Option<u64>,
 }
 
-impl Standing {
+impl Status {
     /// The first state of the era that the sender heard of.
     pub fn first(&self) -> Revision {
         Revision::new(Era(self.era), self.first)
@@ -161,7 +161,7 @@
     /// What has changed since the other's place, in order.
     Changes(Vec<Change>),
     /// All there are, as of a revision of the store.
-    All(Vec<Row>, #[serde(with = "stamp::number")] Revision),
+    All(Vec<Row>, #[serde(with = "revision_serde::number")] Revision),
     /// What the other lacks, or the next piece of it.
     Part(Part),
 }
@@ -172,7 +172,7 @@
         let of_era = |revision: Revision| Revision::new(era, revision.number());
         let row_of_era = |row: Row| {
             let revision = of_era(row.revision());
-            row.at(revision)
+            row.with_revision(revision)
         };
         match self {
             Servers::All(rows, seen) => {
@@ -180,8 +180,8 @@
             }
             Servers::Changes(changes) => {
                 let changes = changes.into_iter().map(|change| match change {
-                    Change::Is(row) => Change::Is(row_of_era(row)),
-                    Change::Gone(id, seen) => Change::Gone(id, of_era(seen)),
+                    Change::Upserted(row) => Change::Upserted(row_of_era(row)),
+                    Change::Removed(id, seen) => Change::Removed(id, of_era(seen)),
                 });
                 Servers::Changes(changes.collect())
             }
@@ -194,17 +194,22 @@
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub enum Change {
     /// A server came or changed.
-    Is(Row),
+    #[serde(rename = "Is")]
+    Upserted(Row),
     /// A server is gone, as of a revision of the store.
-    Gone(ids::Server, #[serde(with = "stamp::number")] Revision),
+    #[serde(rename = "Gone")]
+    Removed(
+        ids::Server,
+        #[serde(with = "revision_serde::number")] Revision,
+    ),
 }
 
 impl Change {
     /// The server.
     pub fn id(&self) -> &ids::Server {
         match self {
-            Change::Is(row) => row.id(),
-            Change::Gone(id, _) => id,
+            Change::Upserted(row) => row.id(),
+            Change::Removed(id, _) => id,
         }
     }
 }
--- a/crates/relay/src/message/link.rs
+++ b/crates/relay/src/message/link.rs
@@ -33,9 +33,9 @@
     /// The frame is too large or is no message.
     Malformed(String),
     /// The other box answers, but cannot confirm that what it knows is current.
-    Unsure,
+    Unconfirmed,
     /// The other box follows a former era of the store.
-    Former,
+    StaleEra,
 }
 
 impl fmt::Display for Error {
@@ -44,8 +44,8 @@
             Error::Io(error) => write!(f, "{error}"),
             Error::Closed => f.write_str("closed"),
             Error::Malformed(why) => write!(f, "malformed frame: {why}"),
-            Error::Unsure => f.write_str("it cannot vouch for what it knows"),
-            Error::Former => f.write_str("it follows a former era of the store"),
+            Error::Unconfirmed => f.write_str("it cannot vouch for what it knows"),
+            Error::StaleEra => f.write_str("it follows a former era of the store"),
         }
     }
 }
@@ -83,7 +83,7 @@
 /// # Errors
 ///
 /// The connection failed or was closed.
-pub async fn begin(conn: &mut Conn) -> Result<(), Error> {
+pub async fn wait_for_length(conn: &mut Conn) -> Result<(), Error> {
     fill(conn, LENGTH_BYTES).await
 }
 
--- a/crates/relay/src/message/mod.rs
+++ b/crates/relay/src/message/mod.rs
@@ -17,11 +17,11 @@
 
 /// What a box asks another.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
-pub enum Question {
+pub enum PeerRequest {
     /// What has changed in the store; answered by [`follow::Answer`].
-    Follow(follow::Ask),
+    Follow(follow::Request),
     /// Which requests are under way; answered by [`traffic::Answer`].
-    Traffic(traffic::Ask),
+    Traffic(traffic::Request),
     /// Which engines keep which parts; answered by [`recall::Answer`].
-    Recall(recall::Ask),
+    Recall(recall::Request),
 }
--- a/crates/relay/src/message/part.rs
+++ b/crates/relay/src/message/part.rs
@@ -13,7 +13,7 @@
 use tidepier_ids as ids;
 
 use super::row::{as_ms, Row};
-use crate::stamp;
+use crate::revision_serde;
 
 /// Servers, as far as the other does not know them, or the next piece of all.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -30,9 +30,10 @@
     /// Present in a list of all.
     pub piece: Option<Piece>,
     /// Revision of the store up to which the sender knows all; 0: it does not.
-    whole: u64,
+    #[serde(rename = "whole")]
+    complete_revision: u64,
     /// The era of that revision and of the numbers of the other fields.
-    #[serde(default, skip_serializing_if = "stamp::is_only")]
+    #[serde(default, skip_serializing_if = "revision_serde::is_default_era")]
     era: u64,
 }
 
@@ -40,7 +41,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 struct Gone {
     id: ids::Server,
-    #[serde(flatten, with = "stamp")]
+    #[serde(flatten, with = "revision_serde")]
     revision: Revision,
 }
 
@@ -70,7 +71,7 @@
     /// A part of one whose sender knows all up to a revision, with these servers.
     pub fn new(whole: Revision, rows: impl IntoIterator<Item = Row>) -> Self {
         let mut part = Self {
-            whole: whole.number(),
+            complete_revision: whole.number(),
             era: whole.era().0,
             ..Self::default()
         };
@@ -121,8 +122,8 @@
     }
 
     /// Revision of the store up to which the sender knows all, if it does.
-    pub fn whole(&self) -> Revision {
-        Revision::new(Era(self.era), self.whole)
+    pub fn complete_revision(&self) -> Revision {
+        Revision::new(Era(self.era), self.complete_revision)
     }
 
     /// Servers that are gone, each as of a revision of the store.
--- a/crates/relay/src/message/recall.rs
+++ b/crates/relay/src/message/recall.rs
@@ -2,12 +2,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::traffic::index::Kept;
+use crate::traffic::index::Entry;
 use crate::traffic::Progress;
 
 /// What a box asks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct Request {
     /// [`VERSION`](super::VERSION) of the sender.
     pub version: u16,
 }
@@ -20,5 +20,5 @@
     /// How much the sender knows.
     pub progress: Progress,
     /// What is known to be kept.
-    pub kept: Vec<Kept>,
+    pub kept: Vec<Entry>,
 }
--- a/crates/relay/src/message/row.rs
+++ b/crates/relay/src/message/row.rs
@@ -5,10 +5,10 @@
 
 use serde::{Deserialize, Serialize};
 use tidepier_core::era::{Era, Revision};
-use tidepier_core::server::{Birth, Server, State};
+use tidepier_core::server::{Server, StartTime, State};
 use tidepier_ids as ids;
 
-use crate::stamp;
+use crate::revision_serde;
 
 /// One server.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
@@ -25,7 +25,7 @@
     /// Revision of the server's entry in the store.
     pub(super) revision: u64,
     /// The era of that revision.
-    #[serde(default, skip_serializing_if = "stamp::is_only")]
+    #[serde(default, skip_serializing_if = "revision_serde::is_default_era")]
     pub(super) era: u64,
     /// When it started, where it tells that; in ms since 1970.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -59,7 +59,7 @@
     }
 
     /// The same as an entry of another revision.
-    pub fn at(self, revision: Revision) -> Self {
+    pub fn with_revision(self, revision: Revision) -> Self {
         Self {
             revision: revision.number(),
             era: revision.era().0,
@@ -69,7 +69,7 @@
 
     /// Whether it says of its server what another entry says, but for how long it is cold
     /// and that it leaves, which holds whenever it was said.
-    pub fn repeats(&self, known: &Self) -> bool {
+    pub fn adds_nothing_to(&self, known: &Self) -> bool {
         let same = Self {
             revision: self.revision,
             era: self.era,
@@ -116,7 +116,7 @@
             } else {
                 State::Ready
             },
-            born: row.born.map(Birth),
+            born: row.born.map(StartTime),
             cold: Duration::from_millis(row.cold_ms.into()),
         }
     }
--- a/crates/relay/src/message/traffic.rs
+++ b/crates/relay/src/message/traffic.rs
@@ -6,11 +6,11 @@
 use crate::crash::table;
 use crate::fleet::Count;
 use crate::rollout::{self, evidence};
-use crate::traffic::log::{Position, Row};
+use crate::traffic::log::{Placement, Position};
 
 /// Who asks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Asker {
+pub enum Requester {
     /// A box of the same hall: it tells of its own requests and hears of all.
     Box,
     /// The hub of another hall: it hears of this hall's requests.
@@ -19,13 +19,13 @@
 
 /// What a box tells, and asks for.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct Request {
     /// [`VERSION`](super::VERSION) of the sender.
     pub version: u16,
     /// Comes back in the answer.
     pub number: u64,
     /// Who asks.
-    pub asker: Asker,
+    pub asker: Requester,
     /// Where the sender stands in the other's log of placements.
     pub place: Position,
     /// What the sender tells.
@@ -40,7 +40,7 @@
     /// Counts that differ from what was told before on this connection.
     pub counts: Vec<Count>,
     /// Placements that are new.
-    pub rows: Vec<Row>,
+    pub rows: Vec<Placement>,
     /// Further ones for which there was no room.
     pub untold: u32,
     /// Contents that servers ended under, as far as that is new.
--- a/crates/relay/src/notice.rs
+++ b/crates/relay/src/notifier.rs
@@ -13,9 +13,9 @@
 
 /// Something that tasks wait for; every task that waits is woken.
 #[derive(Default, Clone)]
-pub struct Notice(Rc<RefCell<State>>);
+pub struct Notifier(Rc<RefCell<State>>);
 
-impl Notice {
+impl Notifier {
     /// Wakes every task that waits now.
     pub fn notify(&self) {
         let mut state = self.0.borrow_mut();
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Waits until the next [`Notice::notify`] after this call.
+    /// Waits until the next [`Notifier::notify`] after this call.
     pub async fn wait(&self) {
         let seen = self.0.borrow().count;
         poll_fn(|context| {
--- a/crates/relay/src/peer/mod.rs
+++ b/crates/relay/src/peer/mod.rs
@@ -3,7 +3,7 @@
 //! Every box is registered in the store ([`registry`]). In each hall the boxes
 //! have an order that all agree on while they know the same boxes; the first
 //! that answers reads the store. The others ask it, or boxes that do so in turn
-//! ([`tree`], [`ask`]), and are answered when there is something new ([`hub`]). A
+//! ([`tree`], [`upstream`]), and are answered when there is something new ([`responder`]). A
 //! box that finds nobody before it in the order reads the store itself, and so
 //! does one whose proof grows old: a dead, frozen or cut off reader costs a moment
 //! and no agreement.
@@ -12,7 +12,7 @@
 //! that they place ([`traffic`]).
 //!
 //! A box whose store went back to an older copy asks others what was in force before
-//! ([`memory`]).
+//! ([`recovery`]).
 //!
 //! A box that starts while it does not reach the store asks any others that
 //! its settings name ([`seed`]).
@@ -21,10 +21,10 @@
 //! from when the question was sent, less the age given in the answer, on the
 //! clock of the box that asks.
 
-pub mod ask;
-pub mod hub;
-pub mod memory;
+pub mod recovery;
 pub mod registry;
+pub mod responder;
 pub mod seed;
 pub mod traffic;
 pub mod tree;
+pub mod upstream;
--- a/crates/relay/src/peer/memory.rs
+++ b/crates/relay/src/peer/recovery.rs
@@ -14,10 +14,10 @@
 use smol::{LocalExecutor, Timer};
 use tidepier_clock::Instant;
 
-use super::ask::{self, CONNECT_TIME};
 use super::registry::Registry;
+use super::upstream::{self, CONNECT_TIMEOUT};
 use crate::follow::Follower;
-use crate::message::follow::{Ask, More, Position};
+use crate::message::follow::{Options, Position, Request};
 use crate::message::link::{self, Error};
 use crate::message::VERSION;
 
@@ -38,7 +38,7 @@
     executor: Rc<LocalExecutor<'static>>,
 ) {
     loop {
-        follower.opened().await;
+        follower.wait_until_unsettled().await;
         let others = others(registry.as_deref(), &seeds);
         let asked = others.into_iter().map(|address| {
             let follower = follower.clone();
@@ -52,7 +52,7 @@
         for answer in asked {
             answer.await;
         }
-        follower.recalled();
+        follower.note_recall();
         Timer::after(ROUND_TIME).await;
     }
 }
@@ -75,21 +75,21 @@
 }
 
 async fn ask(follower: &Follower, address: SocketAddr) -> Result<(), Error> {
-    let mut conn = link::open(address, CONNECT_TIME).await?;
-    let ask = Ask {
+    let mut conn = link::open(address, CONNECT_TIMEOUT).await?;
+    let ask = Request {
         version: VERSION,
         number: 1,
         document: follower.revision().number(),
         position: Position::default(),
-        more: Some(More {
+        options: Some(Options {
             in_force: Some(follower.relay().view.version().0),
             operator_only: true,
-            ..More::default()
+            ..Options::default()
         }),
     };
     let asked = Instant::now();
-    let answer = ask::ask_for(&mut conn, &ask).await?;
-    let document = ask::document(&mut conn, &answer).await?;
-    follower.take_memory(&answer, document, asked);
+    let answer = upstream::ask_for(&mut conn, &ask).await?;
+    let document = upstream::document(&mut conn, &answer).await?;
+    follower.apply_recalled(&answer, document, asked);
     Ok(())
 }
--- a/crates/relay/src/peer/registry.rs
+++ b/crates/relay/src/peer/registry.rs
@@ -16,14 +16,14 @@
 use serde::{Deserialize, Serialize};
 use smol::Timer;
 use tidepier_clock::Instant;
-use tidepier_core::store::{Failure, Item, Kept, LeaseId, Store, Swap, Write};
+use tidepier_core::store::{Failure, Item, LeaseId, LeaseState, Store, Swap, Write};
 use tidepier_ids as ids;
 use tidepier_platform::store::Client;
 use xxhash_rust::xxh3::{xxh3_64, Xxh3};
 
 use super::tree;
 use crate::message::boxes;
-use crate::notice::Notice;
+use crate::notifier::Notifier;
 use crate::relay::Relay;
 
 /// Where the entries lie in the store.
@@ -74,14 +74,14 @@
     /// Whether this box is in the list that others tell.
     present: Cell<bool>,
     /// Notified when it no longer is.
-    missed: Notice,
+    missed: Notifier,
     /// Notified when the store may have lost entries.
-    lost: Notice,
+    lost: Notifier,
     listed: Cell<bool>,
     /// Whether a call failed before the boxes were listed.
     failed: Cell<bool>,
     /// Notified when the list changed.
-    pub changed: Notice,
+    pub changed: Notifier,
 }
 
 impl Registry {
@@ -92,13 +92,13 @@
             told: RefCell::default(),
             heard: Cell::new(None),
             present: Cell::new(true),
-            missed: Notice::default(),
-            lost: Notice::default(),
+            missed: Notifier::default(),
+            lost: Notifier::default(),
             me,
             store,
             listed: Cell::new(false),
             failed: Cell::new(false),
-            changed: Notice::default(),
+            changed: Notifier::default(),
         })
     }
 
@@ -113,7 +113,7 @@
     }
 
     /// Boxes of this hall that come before this one, the first one first.
-    pub fn before_me(&self) -> Vec<Member> {
+    pub fn predecessors(&self) -> Vec<Member> {
         let mine = order(&self.me);
         let mut members = self.members_of(&self.me.hall);
         members.retain(|member| order(member) < mine);
@@ -125,7 +125,7 @@
         let order = self.members_of(&self.me.hall);
         let links: Vec<u32> = order.iter().map(|member| member.link_mbps).collect();
         let me = order.iter().position(|it| it.name == self.me.name);
-        let places = me.map_or_else(Vec::new, |me| tree::asked(&links, me));
+        let places = me.map_or_else(Vec::new, |me| tree::upstream_candidates(&links, me));
         places
             .into_iter()
             .map(|place| order[place].clone())
@@ -145,7 +145,7 @@
     }
 
     /// Takes over the boxes as another box of this hall tells them.
-    pub fn hear(&self, relay: &Relay, list: &boxes::List) {
+    pub fn apply_list(&self, relay: &Relay, list: &boxes::List) {
         let rows = list.halls.iter().flat_map(|(hall, rows)| {
             rows.iter().map(|row| Member {
                 name: row.name.clone(),
@@ -203,10 +203,10 @@
     }
 
     /// Registers this box and keeps the list; does not end.
-    pub async fn keep(self: Rc<Self>, relay: Rc<Relay>) {
+    pub async fn maintain(self: Rc<Self>, relay: Rc<Relay>) {
         let mut lease = self.start(&relay).await;
         let mut renewed = Instant::now();
-        if self.before_me().is_empty() {
+        if self.predecessors().is_empty() {
             // It tells the others, and nobody tells it.
             if let Err(failure) = self.list(&relay, Whose::All, false).await {
                 note(&failure, "list");
@@ -241,7 +241,7 @@
     }
 
     /// Has the boxes be read again, as the store may have lost entries.
-    pub fn look_again(&self) {
+    pub fn request_reread(&self) {
         self.lost.notify();
     }
 
@@ -254,7 +254,7 @@
     /// Reads the boxes if nobody tells them to this one: it tells the others of its hall,
     /// and those that are missing there register again.
     async fn reread(&self, relay: &Relay) {
-        if !self.before_me().is_empty() {
+        if !self.predecessors().is_empty() {
             return;
         }
         match self.list(relay, Whose::All, false).await {
@@ -294,9 +294,9 @@
     }
 
     async fn renew(&self, lease: LeaseId) {
-        match self.store.keep(lease, CALL_TIME).await {
-            Ok(Kept::For(_)) => {}
-            Ok(Kept::Gone) => log::warn!(target: "belief", "event=lease_over"),
+        match self.store.renew(lease, CALL_TIME).await {
+            Ok(LeaseState::For(_)) => {}
+            Ok(LeaseState::Gone) => log::warn!(target: "belief", "event=lease_over"),
             Err(failure) => note(&failure, "keep"),
         }
     }
@@ -305,7 +305,7 @@
         loop {
             match self.list(relay, Whose::Hall, true).await {
                 Ok(Some(lease)) => {
-                    relay.roster.known(Instant::now());
+                    relay.roster.set_listed(Instant::now());
                     return lease;
                 }
                 Ok(None) => {}
@@ -313,7 +313,7 @@
             }
             match self.register().await {
                 Ok(lease) => {
-                    relay.roster.unknown(Instant::now());
+                    relay.roster.set_unlisted(Instant::now());
                     Timer::after(FIRST_LIST_TIME).await;
                     while let Err(failure) = self.list(relay, Whose::Hall, false).await {
                         note(&failure, "list");
@@ -353,7 +353,7 @@
                 log::info!(target: "belief", "event=registered revision={revision}");
                 Ok(lease)
             }
-            Swap::Conflict(_) | Swap::NoLease | Swap::OtherEra => {
+            Swap::Conflict(_) | Swap::LeaseExpired | Swap::EraChanged => {
                 Err(Failure::Malformed("the lease ended at once".into()))
             }
         }
@@ -401,7 +401,9 @@
         members.sort_by(|a, b| a.name.cmp(&b.name));
         relay.set_boxes(members.len());
         let boxes = members.iter().map(|member| (&member.name, &member.hall));
-        relay.roster.list(&self.me.name, boxes, Instant::now());
+        relay
+            .roster
+            .set_members(&self.me.name, boxes, Instant::now());
         let first = !self.listed.replace(true);
         if first || *self.members.borrow() != members {
             log::info!(target: "belief", "event=boxes count={}", members.len());
--- a/crates/relay/src/peer/hub.rs
+++ b/crates/relay/src/peer/responder.rs
@@ -11,12 +11,12 @@
 use tidepier_h1::{Conn, Listener};
 
 use crate::follow::Follower;
-use crate::message::follow::{Answer, Ask, Position, Servers};
+use crate::message::follow::{Answer, Position, Request, Servers};
 use crate::message::link::{self, Error};
-use crate::message::{recall, Question, VERSION};
+use crate::message::{recall, PeerRequest, VERSION};
 use crate::peer::registry::Registry;
 use crate::peer::traffic;
-use crate::record::Place;
+use crate::server_history::Cursor;
 use crate::timeout;
 use crate::traffic::log::Peer;
 use crate::traffic::Traffic;
@@ -27,13 +27,13 @@
 /// (some 330, of 1,000 boxes in 3 halls; 60 of the 350 in 6 halls that designs
 /// are made for), and some that did not notice that their connection broke, or
 /// that start elsewhere.
-pub const CONNECTIONS: usize = 768;
+pub const CONNECTIONS_MAX: usize = 768;
 /// Longest time from a message's first byte to its last: a question is a few
 /// KB, and its asker gives up after a third of a second.
-pub const MESSAGE_TIME: Duration = Duration::from_secs(2);
+pub const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Largest question in bytes: counts of 9,000 servers at some 30 bytes each, ten
 /// times the fleet that designs are made for.
-pub const ASK_BYTES: usize = 256 << 10;
+pub const REQUEST_BYTES_MAX: usize = 256 << 10;
 /// Rest after which a box that asks nothing more counts as gone: they ask
 /// every 0.4 s, and one that froze for so long starts anew anyway.
 const REST_TIME: Duration = Duration::from_secs(15);
@@ -58,8 +58,8 @@
     loop {
         match listener.accept(UNACKED_TIME).await {
             // The list itself holds one count.
-            Ok(_) if Rc::strong_count(&open) > CONNECTIONS => {
-                log::warn!(target: "peer", "event=asker_refused why=crowded most={CONNECTIONS}");
+            Ok(_) if Rc::strong_count(&open) > CONNECTIONS_MAX => {
+                log::warn!(target: "peer", "event=asker_refused why=crowded most={CONNECTIONS_MAX}");
             }
             Ok(conn) => {
                 let (follower, registry) = (follower.clone(), registry.clone());
@@ -84,17 +84,17 @@
     let relay = follower.relay();
     let member = Member {
         traffic: &relay.traffic,
-        number: relay.traffic.join(),
+        number: relay.traffic.next_member_number(),
     };
     let mut end = traffic::End::default();
     // What the other was told last, as a count of changes.
     let mut told = None;
     loop {
         match receive(&mut conn).await? {
-            Question::Follow(ask) => {
+            PeerRequest::Follow(ask) => {
                 check(ask.version)?;
                 let held = hold(follower, &ask, told).await;
-                told = Some(follower.touched());
+                told = Some(follower.change_count());
                 let (answer, document) = answer(follower, registry, &ask, held);
                 let send = async {
                     link::send(&conn, &answer).await?;
@@ -105,12 +105,12 @@
                 };
                 link::within(ANSWER_TIME, send).await?;
             }
-            Question::Traffic(ask) => {
+            PeerRequest::Traffic(ask) => {
                 check(ask.version)?;
                 let answer = end.answer(relay, member.number, ask);
                 link::within(ANSWER_TIME, link::send(&conn, &answer)).await?;
             }
-            Question::Recall(ask) => {
+            PeerRequest::Recall(ask) => {
                 check(ask.version)?;
                 let answer = recalled(&relay.traffic);
                 link::within(ANSWER_TIME, link::send(&conn, &answer)).await?;
@@ -128,9 +128,9 @@
 
 /// The next question. One that has not begun may take as long as a box rests;
 /// one that has begun has to come whole.
-async fn receive(conn: &mut Conn) -> Result<Question, Error> {
+async fn receive(conn: &mut Conn) -> Result<PeerRequest, Error> {
     link::within(REST_TIME, link::begun(conn)).await?;
-    link::within(MESSAGE_TIME, link::receive_most(conn, ASK_BYTES)).await
+    link::within(MESSAGE_TIMEOUT, link::receive_most(conn, REQUEST_BYTES_MAX)).await
 }
 
 /// A box that asks; its report is forgotten when it no longer does.
@@ -141,7 +141,7 @@
 
 impl Drop for Member<'_> {
     fn drop(&mut self) {
-        self.traffic.leave(&Peer::Member(self.number));
+        self.traffic.remove_peer(&Peer::Member(self.number));
     }
 }
 
@@ -150,20 +150,20 @@
     recall::Answer {
         version: VERSION,
         progress: traffic.progress(),
-        kept: traffic.index.kept(Instant::now()),
+        kept: traffic.index.export(Instant::now()),
     }
 }
 
 /// Lets a question wait until something is new, or until this box can vouch for what it
 /// knows; returns for how long. `told`: what the other was told last.
-async fn hold(follower: &Follower, ask: &Ask, told: Option<u64>) -> Duration {
-    let Some(more) = &ask.more else {
+async fn hold(follower: &Follower, ask: &Request, told: Option<u64>) -> Duration {
+    let Some(more) = &ask.options else {
         return Duration::ZERO;
     };
     let start = Instant::now();
     let limit = Duration::from_millis(more.wait_ms.into()).min(HOLD_MAX);
     let news = async {
-        let is_new = || told != Some(follower.touched());
+        let is_new = || told != Some(follower.change_count());
         while !is_new() || !vouches(follower, ask) {
             follower.news().await;
         }
@@ -178,20 +178,20 @@
 
 /// Whether this box can vouch for what it knows. One that knows no eras takes that for a
 /// proof that the configuration is the newest.
-fn vouches(follower: &Follower, ask: &Ask) -> bool {
+fn vouches(follower: &Follower, ask: &Request) -> bool {
     let now = Instant::now();
     let knows_eras = ask
-        .more
+        .options
         .as_ref()
         .is_some_and(|more| more.in_force.is_some());
     match knows_eras {
-        true => follower.told_standing(now).followed_ms.is_some(),
-        false => follower.proven_age(now).is_some(),
+        true => follower.advertised_status(now).followed_ms.is_some(),
+        false => follower.shareable_age(now).is_some(),
     }
 }
 
 /// What a box is told that has got nothing which this one can vouch for.
-fn nothing(ask: &Ask) -> (Servers, Position) {
+fn nothing(ask: &Request) -> (Servers, Position) {
     (Servers::Changes(Vec::new()), ask.position)
 }
 
@@ -200,39 +200,39 @@
 fn answer(
     follower: &Follower,
     registry: &Registry,
-    ask: &Ask,
+    ask: &Request,
     held: Duration,
 ) -> (Answer, Option<Rc<[u8]>>) {
     let now = Instant::now();
     let vouches = vouches(follower, ask);
-    let operator_only = ask.more.as_ref().is_some_and(|more| more.operator_only);
-    let document = match &ask.more {
+    let operator_only = ask.options.as_ref().is_some_and(|more| more.operator_only);
+    let document = match &ask.options {
         // Nothing of it would be taken.
         Some(_) if !vouches && !operator_only => None,
         _ => follower.document_for(ask),
     };
-    let (servers, position) = match &ask.more {
+    let (servers, position) = match &ask.options {
         None => follower.servers_after(ask.position),
         Some(_) if !vouches || operator_only => nothing(ask),
         Some(more) => {
-            let place = Place {
+            let place = Cursor {
                 position: ask.position,
                 after: more.after.clone(),
-                whole: more.whole(),
+                complete_revision: more.whole(),
             };
             let (part, position) = follower.servers_part(&place);
             (Servers::Part(part), position)
         }
     };
-    let boxes = ask.more.as_ref().filter(|_| vouches);
+    let boxes = ask.options.as_ref().filter(|_| vouches);
     let boxes = boxes.and_then(|more| registry.list_for(more.boxes));
     let answer = Answer {
         version: VERSION,
         number: ask.number,
-        age_ms: follower.proven_age(now).map(as_ms),
-        known_ms: follower.known_age(now).map(as_ms),
+        age_ms: follower.shareable_age(now).map(as_ms),
+        known_ms: follower.confirmed_age(now).map(as_ms),
         revision: follower.revision().number(),
-        standing: Some(follower.told_standing(now)),
+        standing: Some(follower.advertised_status(now)),
         document_bytes: document.as_ref().map(|bytes| bytes.len() as u32),
         emptied: Some(follower.emptied()),
         rollouts: Some(follower.relay().rollouts.list(now)),
