--- a/crates/relay/src/peer/seed.rs
+++ b/crates/relay/src/peer/seed.rs
@@ -16,11 +16,11 @@
 use tidepier_clock::Instant;
 
 use crate::follow::Follower;
-use crate::message::follow::{Ask, Position};
+use crate::message::follow::{Position, Request};
 use crate::message::link::{self, Error};
 use crate::message::VERSION;
-use crate::peer::ask::{self, ANSWER_TIME};
 use crate::peer::registry::Registry;
+use crate::peer::upstream::{self, ANSWER_TIMEOUT};
 
 /// Time between two checks whether others are to be asked.
 const LOOK_TIME: Duration = Duration::from_millis(50);
@@ -34,7 +34,7 @@
 /// Asks the boxes at `seeds` in turn until this one is informed otherwise.
 pub async fn run(follower: Rc<Follower>, registry: Rc<Registry>, mut seeds: Vec<SocketAddr>) {
     let started = Instant::now();
-    while !follower.is_informed() {
+    while !follower.is_synced() {
         if !registry.has_failed() && started.elapsed() < PATIENCE {
             Timer::after(LOOK_TIME).await;
             continue;
@@ -49,7 +49,7 @@
 /// Asks boxes until one knows something.
 async fn round(follower: &Follower, seeds: &[SocketAddr]) {
     for seed in seeds {
-        if follower.is_informed() {
+        if follower.is_synced() {
             return;
         }
         match ask(follower, *seed).await {
@@ -63,22 +63,22 @@
 }
 
 async fn ask(follower: &Follower, seed: SocketAddr) -> Result<(), Error> {
-    let mut conn = link::open(seed, ANSWER_TIME).await?;
-    let ask = Ask {
+    let mut conn = link::open(seed, ANSWER_TIMEOUT).await?;
+    let ask = Request {
         version: VERSION,
         number: 1,
         document: follower.revision().number(),
         position: Position::default(),
-        more: None,
+        options: None,
     };
     let asked = Instant::now();
-    let answer = ask::ask_for(&mut conn, &ask).await?;
-    let document = ask::document(&mut conn, &answer).await?;
-    if follower.is_informed() {
+    let answer = upstream::ask_for(&mut conn, &ask).await?;
+    let document = upstream::document(&mut conn, &answer).await?;
+    if follower.is_synced() {
         return Ok(());
     }
     let (revision, known_ms) = (answer.revision, answer.known_ms);
-    follower.take_seed(answer, document, asked)?;
+    follower.apply_seed(answer, document, asked)?;
     log::info!(
         target: "peer",
         "event=seeded address={seed} revision={revision} known_ms={known_ms:?}"
--- a/crates/relay/src/peer/traffic.rs
+++ b/crates/relay/src/peer/traffic.rs
@@ -15,15 +15,15 @@
 use tidepier_h1::Conn;
 use tidepier_ids as ids;
 
-use super::ask::{ANSWER_TIME, CONNECT_TIME, PASS_OVER_TIME, UNSURE_TIME};
 use super::registry::{Member, Registry};
+use super::upstream::{ANSWER_TIMEOUT, CONNECT_TIMEOUT, PASS_OVER_TIME, UNSURE_TIME};
 use crate::crash::table;
 use crate::message::link::{self, Error};
-use crate::message::traffic::{Answer, Ask, Asker, Report};
-use crate::message::{Question, VERSION};
+use crate::message::traffic::{Answer, Report, Request, Requester};
+use crate::message::{PeerRequest, VERSION};
 use crate::relay::Relay;
-use crate::traffic::log::{News, Peer, Position};
-use crate::traffic::tally::{Sum, Told};
+use crate::traffic::log::{Batch, Peer, Position};
+use crate::traffic::tally::{Baseline, Totals};
 
 /// Time between two questions: what is told is so old at most on each of three
 /// hops, from a box over two hubs to another.
@@ -47,26 +47,32 @@
 /// One end of a connection: what was told over it, each way.
 #[derive(Default)]
 pub struct End {
-    told: Told,
-    heard: Sum,
+    told: Baseline,
+    heard: Totals,
     /// Place in the table of crashes up to which the other side was told.
     crashes_told: u64,
 }
 
 impl End {
-    fn report(&mut self, sum: &Sum, most: usize, news: News, crashes: Vec<table::Row>) -> Report {
+    fn report(
+        &mut self,
+        sum: &Totals,
+        most: usize,
+        news: Batch,
+        crashes: Vec<table::Row>,
+    ) -> Report {
         Report {
             boxes: sum.boxes,
             counts: self.told.changes(sum, most),
             rows: news.rows,
-            untold: news.untold,
+            untold: news.omitted,
             crashes,
             ..Report::default()
         }
     }
 
     /// What the other side was not told yet of contents that servers ended under.
-    fn crashes(&mut self, relay: &Relay, told: table::Told, most: usize) -> Vec<table::Row> {
+    fn crashes(&mut self, relay: &Relay, told: table::Scope, most: usize) -> Vec<table::Row> {
         let table = &relay.crashes.table;
         let (rows, place) = table.since(self.crashes_told, most, told, Instant::now());
         self.crashes_told = place;
@@ -75,32 +81,36 @@
 
     fn hear(&mut self, relay: &Relay, from: Peer, report: &Report) {
         self.heard.apply(report.boxes, &report.counts);
-        relay.crashes.take(&report.crashes, Instant::now());
-        relay.hear_rollouts(&from, report);
-        relay.hear(from, self.heard.clone(), &report.rows, report.untold);
+        relay.crashes.merge_rows(&report.crashes, Instant::now());
+        relay.merge_rollouts(&from, report);
+        relay.merge_traffic(from, self.heard.clone(), &report.rows, report.untold);
     }
 
     /// Answers a question of the box with the number `member` here.
-    pub fn answer(&mut self, relay: &Relay, member: u64, ask: Ask) -> Answer {
+    pub fn answer(&mut self, relay: &Relay, member: u64, ask: Request) -> Answer {
         let member = Peer::Member(member);
         let now = Instant::now();
         let (sum, most, news) = match ask.asker {
-            Asker::Box => {
+            Requester::Box => {
                 self.hear(relay, member.clone(), &ask.report);
-                let sum = relay.under_way_beside(&member, now);
-                (sum, COUNTS_MAX, relay.traffic.rows_for(&member, ask.place))
+                let sum = relay.in_flight_excluding(&member, now);
+                (
+                    sum,
+                    COUNTS_MAX,
+                    relay.traffic.rows_for_member(&member, ask.place),
+                )
             }
             // A hub adds up what it is told.
-            Asker::Hub => {
-                let sum = relay.under_way_from_here(now);
-                (sum, usize::MAX, relay.traffic.rows_from_here(ask.place))
+            Requester::Hub => {
+                let sum = relay.in_flight_in_subtree(now);
+                (sum, usize::MAX, relay.traffic.rows_of_hall(ask.place))
             }
         };
         // One end alone concerns nobody but a hub, which puts together what its boxes
         // and other hubs saw.
         let crashes = match ask.asker {
-            Asker::Box => self.crashes(relay, table::Told::Repeated, CRASHES_MAX),
-            Asker::Hub => self.crashes(relay, table::Told::All, HUB_CRASHES_MAX),
+            Requester::Box => self.crashes(relay, table::Scope::Repeated, CRASHES_MAX),
+            Requester::Hub => self.crashes(relay, table::Scope::All, HUB_CRASHES_MAX),
         };
         Answer {
             version: VERSION,
@@ -110,10 +120,10 @@
             report: Report {
                 // Only hubs put together what boxes saw.
                 trials: match ask.asker {
-                    Asker::Box => Vec::new(),
-                    Asker::Hub => relay.rollouts.evidence.from_here(now),
+                    Requester::Box => Vec::new(),
+                    Requester::Hub => relay.rollouts.evidence.of_hall(now),
                 },
-                rollouts: relay.told_rollouts(now),
+                rollouts: relay.rollouts_to_report(now),
                 ..self.report(&sum, most, news, crashes)
             },
         }
@@ -137,11 +147,11 @@
             let far = ask_hall(relay.clone(), registry.clone(), hall.clone());
             halls.entry(hall).or_insert_with(|| executor.spawn(far));
         }
-        let before = registry.before_me();
+        let before = registry.predecessors();
         match hub.first(&before) {
             Some(member) => {
                 relay.traffic.set_hub(false);
-                if let Err(error) = ask(&relay, member, Asker::Box, Peer::Hub).await {
+                if let Err(error) = ask(&relay, member, Requester::Box, Peer::Hub).await {
                     hub.pass_over(member, &error);
                 }
             }
@@ -164,7 +174,7 @@
         match hub.first(&members) {
             Some(member) if relay.traffic.is_hub() => {
                 let peer = Peer::Hall(hall.clone());
-                if let Err(error) = ask(&relay, member, Asker::Hub, peer).await {
+                if let Err(error) = ask(&relay, member, Requester::Hub, peer).await {
                     hub.pass_over(member, &error);
                 }
             }
@@ -199,7 +209,7 @@
             member.hall
         );
         let time = match error {
-            Error::Unsure => UNSURE_TIME,
+            Error::Unconfirmed => UNSURE_TIME,
             _ => PASS_OVER_TIME,
         };
         let until = Instant::now() + time;
@@ -208,32 +218,37 @@
 }
 
 /// Asks one box until this box is no longer the one to ask it.
-async fn ask(relay: &Relay, member: &Member, asker: Asker, peer: Peer) -> Result<(), Error> {
-    let mut conn = link::open(member.address, CONNECT_TIME).await?;
+async fn ask(relay: &Relay, member: &Member, asker: Requester, peer: Peer) -> Result<(), Error> {
+    let mut conn = link::open(member.address, CONNECT_TIMEOUT).await?;
     let asked = ask_on(relay, &mut conn, asker, &peer).await;
-    relay.traffic.leave(&peer);
+    relay.traffic.remove_peer(&peer);
     asked
 }
 
-async fn ask_on(relay: &Relay, conn: &mut Conn, asker: Asker, peer: &Peer) -> Result<(), Error> {
+async fn ask_on(
+    relay: &Relay,
+    conn: &mut Conn,
+    asker: Requester,
+    peer: &Peer,
+) -> Result<(), Error> {
     let mut end = End::default();
     let mut place = Position::default();
     for number in 1.. {
         let (report, told) = match asker {
-            Asker::Box => {
-                let sum = relay.under_way_from_here(Instant::now());
+            Requester::Box => {
+                let sum = relay.in_flight_in_subtree(Instant::now());
                 let news = relay.traffic.rows_for_hub();
                 let told = news.place;
-                let crashes = end.crashes(relay, table::Told::All, HUB_CRASHES_MAX);
+                let crashes = end.crashes(relay, table::Scope::All, HUB_CRASHES_MAX);
                 let report = Report {
-                    trials: relay.rollouts.evidence.from_here(Instant::now()),
+                    trials: relay.rollouts.evidence.of_hall(Instant::now()),
                     ..end.report(&sum, usize::MAX, news, crashes)
                 };
                 (report, Some(told))
             }
-            Asker::Hub => (Report::default(), None),
+            Requester::Hub => (Report::default(), None),
         };
-        let ask = Ask {
+        let ask = Request {
             version: VERSION,
             number,
             asker,
@@ -242,13 +257,13 @@
         };
         let answer = exchange(conn, ask).await?;
         if let Some(told) = told {
-            relay.traffic.set_told(told);
+            relay.traffic.set_hub_position(told);
         }
         place = answer.place;
         end.hear(relay, peer.clone(), &answer.report);
         match asker {
-            Asker::Hub if !answer.is_hub => return Err(Error::Unsure),
-            Asker::Hub if !relay.traffic.is_hub() => break,
+            Requester::Hub if !answer.is_hub => return Err(Error::Unconfirmed),
+            Requester::Hub if !relay.traffic.is_hub() => break,
             _ => {}
         }
         Timer::after(ASK_TIME).await;
@@ -256,10 +271,10 @@
     Ok(())
 }
 
-async fn exchange(conn: &mut Conn, ask: Ask) -> Result<Answer, Error> {
+async fn exchange(conn: &mut Conn, ask: Request) -> Result<Answer, Error> {
     let number = ask.number;
-    link::send(conn, &Question::Traffic(ask)).await?;
-    let answer: Answer = link::within(ANSWER_TIME, link::receive(conn)).await?;
+    link::send(conn, &PeerRequest::Traffic(ask)).await?;
+    let answer: Answer = link::within(ANSWER_TIMEOUT, link::receive(conn)).await?;
     if answer.version != VERSION || answer.number != number {
         let why = format!("version {}, number {}", answer.version, answer.number);
         return Err(Error::Malformed(why));
--- a/crates/relay/src/peer/tree.rs
+++ b/crates/relay/src/peer/tree.rs
@@ -25,7 +25,7 @@
 
 /// The places of the boxes that a box asks, the first one that answers. `links` are
 /// those of the boxes of its hall in their order, in Mbit/s, and `me` is its own place.
-pub fn asked(links: &[u32], me: usize) -> Vec<usize> {
+pub fn upstream_candidates(links: &[u32], me: usize) -> Vec<usize> {
     let mut places = Vec::new();
     let mut add = |place: usize| {
         if place < me && !places.contains(&place) {
--- a/crates/relay/src/peer/ask.rs
+++ b/crates/relay/src/peer/upstream.rs
@@ -15,10 +15,10 @@
 use tidepier_h1::Conn;
 use tidepier_ids as ids;
 
-use crate::follow::{Follower, Listing, SCOUTS};
-use crate::message::follow::{Answer, Ask, More, Position};
+use crate::follow::{Follower, Progress, PROBING_BOXES};
+use crate::message::follow::{Answer, Options, Position, Request};
 use crate::message::link::{self, Error};
-use crate::message::{Question, VERSION};
+use crate::message::{PeerRequest, VERSION};
 use crate::peer::registry::{Member, Registry};
 
 /// Time that a question may wait for something new.
@@ -31,10 +31,10 @@
 /// Longest time to connect: some hundred round trips within a hall. A box that
 /// has just started waits so long for one before it that has not; until then it
 /// knows nothing to serve by.
-pub(crate) const CONNECT_TIME: Duration = Duration::from_millis(120);
+pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(120);
 /// Longest time until an answer begins, beyond that for which it may wait: short enough
 /// for two boxes to be tried within the bounds.
-pub(crate) const ANSWER_TIME: Duration = Duration::from_millis(350);
+pub(crate) const ANSWER_TIMEOUT: Duration = Duration::from_millis(350);
 /// Longest time for an answer that has begun to be whole, and for the next part of a
 /// list to begin: as many boxes as a box has askers may be served before.
 const WHOLE_TIME: Duration = Duration::from_millis(2_000);
@@ -77,14 +77,18 @@
         }
         let now = Instant::now();
         memory.passed_over.retain(|_, until| now < *until);
-        let before = registry.before_me();
+        let before = registry.predecessors();
         follower.set_boxes_before(before.len());
         // While the store is unreachable nobody knows what is current; the
         // first boxes are asked often, as one of them finds first that it is
         // back.
         let unreachable = follower.store_is_unreachable();
         let candidates = match unreachable {
-            true => before.iter().take(SCOUTS as usize).cloned().collect(),
+            true => before
+                .iter()
+                .take(PROBING_BOXES as usize)
+                .cloned()
+                .collect(),
             false => registry.asked(),
         };
         memory
@@ -93,12 +97,12 @@
         let mut asked = candidates.iter();
         let first = asked.find(|member| !memory.passed_over.contains_key(&member.name));
         // Those further behind leave the store to the first boxes for a while.
-        let waits = candidates.len() > SCOUTS as usize
-            && !follower.is_informed()
+        let waits = candidates.len() > PROBING_BOXES as usize
+            && !follower.is_synced()
             && started.elapsed() < START_TIME;
         let Some(first) = first else {
             if !waits {
-                follower.read_self("nobody_before", true);
+                follower.set_reads_store("nobody_before", true);
             }
             let changed = async { registry.changed.wait().await };
             changed.or(pause(ASK_TIME)).await;
@@ -124,7 +128,7 @@
             first.name
         );
         memory.places.insert(first.name.clone(), place);
-        let doubted = unreachable || follower.store_is_doubted();
+        let doubted = unreachable || follower.in_grace_period();
         let time = pass_over_time(&error, doubted, started);
         let until = Instant::now() + time;
         memory.passed_over.insert(first.name.clone(), until);
@@ -137,9 +141,9 @@
 fn pass_over_time(error: &Error, doubted: bool, started: Instant) -> Duration {
     match error {
         _ if doubted => UNSURE_TIME,
-        Error::Unsure if started.elapsed() < START_TIME => UNSURE_TIME,
+        Error::Unconfirmed if started.elapsed() < START_TIME => UNSURE_TIME,
         // It will hear of the new one as this box did.
-        Error::Former => UNSURE_TIME,
+        Error::StaleEra => UNSURE_TIME,
         _ => PASS_OVER_TIME,
     }
 }
@@ -158,38 +162,40 @@
     /// Where this box stands in the other's record.
     place: Position,
     /// What this box has got of a list of all servers.
-    listing: Option<Listing>,
+    listing: Option<Progress>,
 }
 
 impl Way<'_> {
     async fn follow(&mut self) -> Result<std::convert::Infallible, Error> {
-        let mut conn = link::open(self.member.address, CONNECT_TIME).await?;
+        let mut conn = link::open(self.member.address, CONNECT_TIMEOUT).await?;
         let mut number = 0;
         let mut sure = Instant::now();
         loop {
             number += 1;
             let asked = Instant::now();
             let mut answer = self.ask(&mut conn, number).await?;
-            let heard = self.follower.hear_servers(&mut answer, &mut self.listing);
+            let heard = self
+                .follower
+                .apply_partial_answer(&mut answer, &mut self.listing);
             // The configuration that follows may take a second or more, and with it
             // a server that leaves would get requests past its time: so it comes after.
             let document = document(&mut conn, &answer).await?;
             match heard {
                 Ok(()) => sure = Instant::now(),
                 // The other may be about to hear of a reader, as this box would.
-                Err(Error::Unsure) if self.may_wait(sure) => {
+                Err(Error::Unconfirmed) if self.may_wait(sure) => {
                     Timer::after(GAP_TIME.max(ASK_TIME.saturating_sub(asked.elapsed()))).await;
                     continue;
                 }
                 Err(error) => return Err(error),
             }
             if let Some(boxes) = &answer.boxes {
-                self.registry.hear(self.follower.relay(), boxes);
+                self.registry.apply_list(self.follower.relay(), boxes);
             }
             self.registry.heard(Instant::now());
             self.place = answer.position;
             if self.listing.is_some() {
-                self.follower.hear_document(&answer, document);
+                self.follower.apply_document(&answer, document);
                 continue;
             }
             if number == 1 {
@@ -203,8 +209,8 @@
             }
             // It was true when the answer left, after it had waited there.
             let told = asked + Duration::from_millis(answer.held_ms);
-            self.follower.take_answer(answer, document, told)?;
-            self.follower.read_self("reader", false);
+            self.follower.apply_answer(answer, document, told)?;
+            self.follower.set_reads_store("reader", false);
             let pause = match asked.elapsed() {
                 // The other is of an older form and lets nothing wait.
                 took if told == asked && took < GAP_TIME => ASK_TIME,
@@ -216,25 +222,25 @@
 
     /// Whether the other may go on being unable to confirm what it knows.
     fn may_wait(&self, sure: Instant) -> bool {
-        match self.follower.is_informed() {
-            true => self.follower.may_wait(),
+        match self.follower.is_synced() {
+            true => self.follower.can_wait_for_peer(),
             false => sure.elapsed() < self.patience,
         }
     }
 
     async fn ask(&self, conn: &mut Conn, number: u64) -> Result<Answer, Error> {
         let after = self.listing.as_ref().and_then(|list| list.after.clone());
-        let whole = self.follower.record().whole();
+        let whole = self.follower.record().complete_revision();
         let wait = match self.listing {
             Some(_) => Duration::ZERO,
             None => HOLD_TIME.min(self.patience),
         };
-        let ask = Ask {
+        let ask = Request {
             version: VERSION,
             number,
             document: self.follower.revision().number(),
             position: self.place,
-            more: Some(More {
+            options: Some(Options {
                 after,
                 whole: whole.number(),
                 era: whole.era().0,
@@ -246,21 +252,21 @@
         };
         let begin = match self.listing {
             Some(_) => WHOLE_TIME,
-            None => ANSWER_TIME + wait,
+            None => ANSWER_TIMEOUT + wait,
         };
         ask_within(conn, &ask, begin).await
     }
 }
 
 /// Asks, and waits for the answer.
-pub(super) async fn ask_for(conn: &mut Conn, ask: &Ask) -> Result<Answer, Error> {
-    ask_within(conn, ask, ANSWER_TIME).await
+pub(super) async fn ask_for(conn: &mut Conn, ask: &Request) -> Result<Answer, Error> {
+    ask_within(conn, ask, ANSWER_TIMEOUT).await
 }
 
 /// The same where the answer may take so long to begin.
-async fn ask_within(conn: &mut Conn, ask: &Ask, begin: Duration) -> Result<Answer, Error> {
-    link::send(conn, &Question::Follow(ask.clone())).await?;
-    link::within(begin, link::begin(conn)).await?;
+async fn ask_within(conn: &mut Conn, ask: &Request, begin: Duration) -> Result<Answer, Error> {
+    link::send(conn, &PeerRequest::Follow(ask.clone())).await?;
+    link::within(begin, link::wait_for_length(conn)).await?;
     let answer: Answer = link::within(WHOLE_TIME, link::receive(conn)).await?;
     if answer.version != VERSION || answer.number != ask.number {
         let why = format!("version {}, number {}", answer.version, answer.number);
--- a/crates/relay/src/ready.rs
+++ b/crates/relay/src/ready.rs
@@ -10,7 +10,7 @@
 
 use smol::{LocalExecutor, Timer};
 use tidepier_h1::{Conn, Framing, Head, Listener, Malformed};
-use tidepier_platform::call;
+use tidepier_platform::monitoring;
 
 use crate::timeout;
 
@@ -29,8 +29,8 @@
 /// Answers to whoever asks at `listener` whether the process is `ready`.
 pub async fn serve(listener: Listener, ready: impl Fn() -> bool) {
     let page = |path: &str| match path {
-        call::READY if ready() => Page::new("200 OK", "ready\n".into()),
-        call::READY => Page::new("503 Service Unavailable", "not ready\n".into()),
+        monitoring::READY if ready() => Page::new("200 OK", "ready\n".into()),
+        monitoring::READY => Page::new("503 Service Unavailable", "not ready\n".into()),
         _ => Page::not_found(),
     };
     pages("readiness", listener, &page).await;
--- a/crates/relay/src/recall/boxes.rs
+++ b/crates/relay/src/recall/boxes.rs
@@ -6,10 +6,10 @@
 use tidepier_clock::Instant;
 
 use crate::message::link::{self, Error};
-use crate::message::recall::{Answer, Ask};
-use crate::message::{Question, VERSION};
-use crate::peer::ask::{ANSWER_TIME, CONNECT_TIME};
+use crate::message::recall::{Answer, Request};
+use crate::message::{PeerRequest, VERSION};
 use crate::peer::registry::{Member, Registry};
+use crate::peer::upstream::{ANSWER_TIMEOUT, CONNECT_TIMEOUT};
 use crate::relay::Relay;
 use crate::traffic::Progress;
 
@@ -76,9 +76,9 @@
 }
 
 async fn ask_one(member: Member) -> Result<Answer, Error> {
-    let mut conn = link::open(member.address, CONNECT_TIME).await?;
-    link::send(&conn, &Question::Recall(Ask { version: VERSION })).await?;
-    link::within(ANSWER_TIME, link::begin(&mut conn)).await?;
+    let mut conn = link::open(member.address, CONNECT_TIMEOUT).await?;
+    link::send(&conn, &PeerRequest::Recall(Request { version: VERSION })).await?;
+    link::within(ANSWER_TIMEOUT, link::wait_for_length(&mut conn)).await?;
     let answer: Answer = link::within(WHOLE_TIME, link::receive(&mut conn)).await?;
     if answer.version != VERSION {
         return Err(Error::Malformed(format!("version {}", answer.version)));
--- a/crates/relay/src/recall/engines.rs
+++ b/crates/relay/src/recall/engines.rs
@@ -10,7 +10,7 @@
 use tidepier_clock::Instant;
 use tidepier_core::request::Part;
 use tidepier_h1::call::{Caller, Failure, Limits, Reply, Request};
-use tidepier_platform::{answer, call};
+use tidepier_platform::{answer, monitoring};
 
 use crate::fleet::{Backend, Permit};
 use crate::relay::Relay;
@@ -36,7 +36,7 @@
     let Some(engines) = engines(relay) else {
         return;
     };
-    let share = index::PARTS.get() / relay.fleet.len().max(1);
+    let share = index::PARTS_MAX.get() / relay.fleet.len().max(1);
     for some in engines.chunks(AT_ONCE) {
         let now = Instant::now();
         let permitted = some
@@ -49,7 +49,7 @@
             match list.await {
                 Ok(reply) => {
                     let said = answer::decode(&reply.head);
-                    relay.fleet.told(engine, &said, "-");
+                    relay.fleet.observe_answer(engine, &said, "-");
                     take(relay, engine, &reply, share);
                 }
                 Err(error) => log::info!(
@@ -88,14 +88,14 @@
     );
     let now = Instant::now();
     for part in parts {
-        relay.traffic.index.told(part.id, engine.key, now);
+        relay.traffic.index.record_remote(part.id, engine.key, now);
     }
 }
 
 /// Takes over the list in an engine's answer.
 fn take(relay: &Relay, engine: &Backend, reply: &Reply, share: usize) {
     let listed = match reply.head.status() {
-        200 => call::kept(&reply.body).map_err(|error| error.to_string()),
+        200 => monitoring::cached_parts(&reply.body).map_err(|error| error.to_string()),
         status => Err(format!("status {status}")),
     };
     match listed {
@@ -112,7 +112,7 @@
     let caller = Caller::new(permit.backend().server.address, LIMITS);
     let request = Request {
         method: "GET",
-        target: call::KEPT,
+        target: monitoring::CACHE_LIST,
         body: None,
     };
     caller.call(&request, LIST_TIME, |_| {}).await
--- a/crates/relay/src/recall/mod.rs
+++ b/crates/relay/src/recall/mod.rs
@@ -3,7 +3,7 @@
 //! A box that was restarted knows nothing of where prompts are kept, and would
 //! have them read anew. Other boxes know, and tell it ([`boxes`]). Where all
 //! boxes were restarted together, the hub of each hall asks the engines of its
-//! hall ([`engines`]), once, and the others ask the hubs.
+//! hall (`engines`), once, and the others ask the hubs.
 
 pub mod boxes;
 mod engines;
@@ -36,7 +36,7 @@
     while !registry.is_listed() {
         registry.changed.wait().await;
     }
-    let first = registry.before_me().is_empty();
+    let first = registry.predecessors().is_empty();
     for (round, pause) in PAUSES.into_iter().enumerate() {
         if boxes::ask(&relay, &registry, &executor).await {
             break;
--- a/crates/relay/src/refusal.rs
+++ b/crates/relay/src/refusal.rs
@@ -46,7 +46,7 @@
     /// All servers of the service say that they leave.
     Leaving,
     /// All servers that may be asked want nothing of this box for so much longer.
-    Resting(Duration),
+    BackingOff(Duration),
     /// The operator asked to empty the halls of all servers of the service.
     Emptied,
     /// No server is in a region that the request may not leave.
@@ -83,7 +83,7 @@
             | Kind::Behind
             | Kind::NoServer
             | Kind::Leaving
-            | Kind::Resting(_)
+            | Kind::BackingOff(_)
             | Kind::Emptied
             | Kind::NoRegion
             | Kind::Cold
@@ -99,7 +99,7 @@
     pub fn retry_after(self) -> Option<Duration> {
         match self {
             // The truth: sooner, no box has another answer.
-            Kind::Crashing(left) | Kind::Resting(left) => Some(left),
+            Kind::Crashing(left) | Kind::BackingOff(left) => Some(left),
             Kind::NotReady | Kind::Stale => Some(UNREADY),
             Kind::Down | Kind::Leaving | Kind::Emptied | Kind::NoRegion | Kind::Behind => {
                 Some(DOWN)
@@ -123,7 +123,7 @@
             Kind::Behind => "behind",
             Kind::NoServer => "no_server",
             Kind::Leaving => "leaving",
-            Kind::Resting(_) => "resting",
+            Kind::BackingOff(_) => "resting",
             Kind::Emptied => "emptied",
             Kind::NoRegion => "no_region",
             Kind::Cold => "cold",
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -14,13 +14,13 @@
 use crate::choose::filter::Regions;
 use crate::cold::Roster;
 use crate::crash::Crashes;
+use crate::era_state::EraState;
 use crate::fleet::Fleet;
 use crate::message::traffic::Report;
 use crate::rollout::{self, Rollouts};
-use crate::standing::Standing;
 use crate::stop::{Phase, Stop};
-use crate::traffic::log::{Peer, Row};
-use crate::traffic::tally::Sum;
+use crate::traffic::log::{Peer, Placement};
+use crate::traffic::tally::Totals;
 use crate::traffic::Traffic;
 use crate::view::View;
 
@@ -42,15 +42,15 @@
 pub struct Bounds {
     /// Age of the proof of the catalog under which a missing route or an
     /// unknown key is a fact: the time in which a change has to be in force.
-    pub fresh: Duration,
+    pub catalog_max_age: Duration,
     /// Time in which all that the operator writes has to be in force: proofs are
     /// asked for at a part of it.
-    pub confirm: Duration,
+    pub confirm_within: Duration,
     /// Age of the proof under which a key is trusted; `None`: always.
-    pub trusted: Option<Duration>,
+    pub key_max_age: Option<Duration>,
     /// Time after the end of the store's trouble from which its word counts
     /// again: an entry that is absent then is gone.
-    pub contact: Duration,
+    pub grace_period: Duration,
     /// Requests a second that a cold server may get, in multiples of what its
     /// service says it bears, ...
     pub cold_overage: f64,
@@ -58,9 +58,9 @@
     pub cold_tolerance: f64,
     /// Time in which the operator writes again what the store lost as it went back to an
     /// older copy.
-    pub rewrite: Duration,
+    pub rewrite_within: Duration,
     /// Time in which a server that is silent loses its entry.
-    pub silence: Duration,
+    pub entry_ttl: Duration,
     /// Most load of one server, in multiples of the mean of its service.
     pub crowd_factor: f64,
     /// Part of a service's requests that a bad release may get.
@@ -79,7 +79,7 @@
     /// The catalog in force.
     pub view: View,
     /// The era of the store, and how far its word holds.
-    pub standing: Standing,
+    pub standing: EraState,
     /// The backend servers.
     pub fleet: Rc<Fleet>,
     /// What is known of the requests that other boxes place, and where prompts
@@ -108,7 +108,7 @@
             hall,
             bounds: Cell::new(bounds),
             view: View::default(),
-            standing: Standing::default(),
+            standing: EraState::default(),
             fleet: Rc::default(),
             traffic: Traffic::default(),
             rollouts: Rollouts::default(),
@@ -152,14 +152,14 @@
     /// Whether the box can serve new connections.
     pub fn is_ready(&self) -> bool {
         let knows = self.view.catalog().is_some() && !self.fleet.is_empty();
-        let trusted = self.bounds().trusted;
+        let trusted = self.bounds().key_max_age;
         let trusted = trusted.is_none_or(|most| self.view.is_fresh(most));
         knows && trusted && self.standing.may_begin() && self.stop.phase() == Phase::Serving
     }
 
     /// Whether clients' connections are closed after the next answer: their
     /// next requests are better served by another box, or others wait.
-    pub fn sheds(&self) -> bool {
+    pub fn closes_clients(&self) -> bool {
         !self.is_ready() || self.is_full()
     }
 
@@ -193,15 +193,16 @@
 
     /// Takes over what another box told of its requests and of those that it
     /// knows of.
-    pub fn hear(&self, from: Peer, sum: Sum, rows: &[Row], untold: u32) {
+    pub fn merge_traffic(&self, from: Peer, sum: Totals, rows: &[Placement], untold: u32) {
         let now = Instant::now();
-        self.traffic.take(from, sum, rows, untold, now);
+        self.traffic.merge_report(from, sum, rows, untold, now);
         let others = self.traffic.others(None, now);
-        self.fleet.set_others(&others.requests, others.boxes, now);
+        self.fleet
+            .set_peer_in_flight(&others.requests, others.boxes, now);
     }
 
     /// Takes over what another box told of services that are moved to other releases.
-    pub fn hear_rollouts(&self, from: &Peer, report: &Report) {
+    pub fn merge_rollouts(&self, from: &Peer, report: &Report) {
         let now = Instant::now();
         let trials = report.trials.clone();
         self.rollouts.evidence.report(from.clone(), trials, now);
@@ -209,21 +210,21 @@
         if let Some(list) = &report.rollouts {
             // Of another era it is taken with what else that box tells, or not at all.
             if Some(list.era()) == self.standing.era() {
-                let hold = self.standing.hold(self.bounds().rewrite, now);
+                let hold = self.standing.hold(self.bounds().rewrite_within, now);
                 self.rollouts.merge(list, hold, now);
             }
         }
     }
 
     /// The orders to move services, if there are any.
-    pub fn told_rollouts(&self, now: Instant) -> Option<rollout::List> {
+    pub fn rollouts_to_report(&self, now: Instant) -> Option<rollout::List> {
         let list = self.rollouts.list(now);
         (!list.is_empty()).then_some(list)
     }
 
     /// Requests of all boxes, as far as this one hears, at servers of a service that
     /// run another release.
-    pub fn under_way_at_others(
+    pub fn in_flight_on_other_releases(
         &self,
         service: &ids::Service,
         target: &Release,
@@ -239,18 +240,18 @@
     }
 
     /// Requests under way at this box and those that ask it.
-    pub fn under_way_from_here(&self, now: Instant) -> Sum {
+    pub fn in_flight_in_subtree(&self, now: Instant) -> Totals {
         self.with_own(self.traffic.members(now))
     }
 
     /// Requests under way at all boxes that this one knows of, without those
     /// of `but`.
-    pub fn under_way_beside(&self, but: &Peer, now: Instant) -> Sum {
+    pub fn in_flight_excluding(&self, but: &Peer, now: Instant) -> Totals {
         self.with_own(self.traffic.others(Some(but), now))
     }
 
-    fn with_own(&self, mut sum: Sum) -> Sum {
-        sum.add(&Sum {
+    fn with_own(&self, mut sum: Totals) -> Totals {
+        sum.add(&Totals {
             boxes: 1,
             requests: self.fleet.running(),
         });
--- a/crates/relay/src/stamp.rs
+++ b/crates/relay/src/revision_serde.rs
@@ -10,13 +10,13 @@
 #[derive(Serialize, Deserialize)]
 struct Stamp {
     revision: u64,
-    #[serde(default, skip_serializing_if = "is_only")]
+    #[serde(default, skip_serializing_if = "is_default_era")]
     era: u64,
 }
 
 /// Whether an era is that of a store which tells none.
 #[allow(clippy::trivially_copy_pass_by_ref)] // As serde calls it.
-pub(crate) fn is_only(era: &u64) -> bool {
+pub(crate) fn is_default_era(era: &u64) -> bool {
     *era == 0
 }
 
--- a/crates/relay/src/rollout/evidence.rs
+++ b/crates/relay/src/rollout/evidence.rs
@@ -14,7 +14,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::fleet::Key;
-use crate::stamp;
+use crate::revision_serde;
 use crate::traffic::log::Peer;
 
 /// Time in which what was seen counts half.
@@ -128,7 +128,7 @@
 #[derive(Serialize, Deserialize)]
 struct Told {
     order: u64,
-    #[serde(default, skip_serializing_if = "stamp::is_only")]
+    #[serde(default, skip_serializing_if = "revision_serde::is_default_era")]
     era: u64,
     route: u32,
     target: bool,
@@ -219,7 +219,7 @@
 
 impl Evidence {
     /// Counts an answer.
-    pub fn note(&self, answer: &Answer<'_>, now: Instant) {
+    pub fn record_answer(&self, answer: &Answer<'_>, now: Instant) {
         let route = xxh3_64(answer.route.as_bytes()) as u32;
         let (failed, slow) = match answer.outcome {
             Outcome::Failed => (1.0, 0.0),
@@ -311,7 +311,7 @@
     }
 
     /// What this box and those that ask it saw.
-    pub fn from_here(&self, now: Instant) -> Vec<Row> {
+    pub fn of_hall(&self, now: Instant) -> Vec<Row> {
         self.sum(now, Peer::is_member)
     }
 
--- a/crates/relay/src/rollout/mod.rs
+++ b/crates/relay/src/rollout/mod.rs
@@ -36,9 +36,9 @@
 use tidepier_ids as ids;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::notice::Notice;
-use crate::stamp;
-use crate::standing::Hold;
+use crate::era_state::Precedence;
+use crate::notifier::Notifier;
+use crate::revision_serde;
 use evidence::Evidence;
 use stage::Stage;
 
@@ -57,12 +57,12 @@
     /// Number of the revision of the operator's entry.
     order: u64,
     /// The era of that revision.
-    #[serde(default, skip_serializing_if = "stamp::is_only")]
+    #[serde(default, skip_serializing_if = "revision_serde::is_default_era")]
     era: u64,
     /// How far it has come, as of a revision; of an earlier order, if of any.
     stage: Option<(Stage, u64)>,
     /// The era of that revision.
-    #[serde(default, skip_serializing_if = "stamp::is_only")]
+    #[serde(default, skip_serializing_if = "revision_serde::is_default_era")]
     stage_era: u64,
 }
 
@@ -79,7 +79,7 @@
     /// Number of the revision of the store up to which nothing else was ordered.
     seen: u64,
     /// The era of that revision.
-    #[serde(default, skip_serializing_if = "stamp::is_only")]
+    #[serde(default, skip_serializing_if = "revision_serde::is_default_era")]
     era: u64,
     /// How long ago all this was provably the newest.
     pub age_ms: Option<u64>,
@@ -200,7 +200,7 @@
 
 /// Which servers of a service a request may go to while an order holds for it.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub enum Aim {
+pub enum Selector {
     /// All.
     #[default]
     Any,
@@ -217,16 +217,16 @@
     Others(Release),
 }
 
-impl Aim {
+impl Selector {
     /// Whether it is a new release that is on trial.
     pub fn is_trial(&self) -> bool {
-        matches!(self, Aim::Target { part, .. } if *part < 1.0)
+        matches!(self, Selector::Target { part, .. } if *part < 1.0)
     }
 
     /// The servers of other releases.
     pub fn others(self) -> Self {
         match self {
-            Aim::Target { release, .. } => Aim::Others(release),
+            Selector::Target { release, .. } => Selector::Others(release),
             other => other,
         }
     }
@@ -234,9 +234,9 @@
     /// Whether a server is among them.
     pub fn admits(&self, server: &Server) -> bool {
         match self {
-            Aim::Any => true,
-            Aim::Others(target) => server.release.as_ref() != Some(target),
-            Aim::Target {
+            Selector::Any => true,
+            Selector::Others(target) => server.release.as_ref() != Some(target),
+            Selector::Target {
                 release,
                 part,
                 order,
@@ -263,12 +263,12 @@
     /// What answers showed.
     pub evidence: Evidence,
     /// Notified when something else is known.
-    pub changed: Notice,
+    pub changed: Notifier,
 }
 
 impl Rollouts {
     /// Records an order of a revision, unless what is known stands against it.
-    pub fn order(&self, order: Order, revision: Revision, hold: Option<Hold>, now: Instant) {
+    pub fn order(&self, order: Order, revision: Revision, hold: Option<Precedence>, now: Instant) {
         self.see(revision);
         let stands = |known: Revision| hold.is_some_and(|hold| hold.keeps(known, revision));
         let back = self.back.borrow().get(&order.service).copied();
@@ -319,7 +319,7 @@
     }
 
     /// Records that a service's order was taken back.
-    pub fn take_back(&self, service: &ids::Service, revision: Revision) {
+    pub fn cancel(&self, service: &ids::Service, revision: Revision) {
         self.see(revision);
         let mut known = self.known.borrow_mut();
         let before = known.get(service);
@@ -334,7 +334,7 @@
 
     /// Records that a list of the store as of a revision lacks a service's order, which
     /// is thereby taken back, unless what is known stands against that.
-    pub fn missing(&self, service: &ids::Service, seen: Revision, hold: Option<Hold>) {
+    pub fn missing(&self, service: &ids::Service, seen: Revision, hold: Option<Precedence>) {
         let mut all = self.known.borrow_mut();
         let Some(known) = all.get_mut(service) else {
             return;
@@ -344,7 +344,7 @@
             return;
         }
         drop(all);
-        self.take_back(service, seen);
+        self.cancel(service, seen);
     }
 
     /// Records that the store went back to an older copy: what it has of how far orders
@@ -357,7 +357,7 @@
     }
 
     /// Records that the store has no entry of how far a service's order has come.
-    pub fn unstaged(&self, service: &ids::Service) {
+    pub fn stage_missing(&self, service: &ids::Service) {
         if let Some(known) = self.known.borrow_mut().get_mut(service) {
             known.stage_revision = Revision::default();
             known.stage_stored = false;
@@ -410,7 +410,7 @@
 
     /// Takes over the whole state that another box or the store tells. Returns whether
     /// what is known here is the same now.
-    pub fn merge(&self, list: &List, hold: Option<Hold>, now: Instant) -> bool {
+    pub fn merge(&self, list: &List, hold: Option<Precedence>, now: Instant) -> bool {
         for known in self.all() {
             let service = &known.order.service;
             if !list.rows.iter().any(|row| row.service == *service) {
@@ -426,7 +426,7 @@
         known.len() == list.rows.len() && known.values().all(same)
     }
 
-    fn merge_row(&self, row: &Row, hold: Option<Hold>, now: Instant) {
+    fn merge_row(&self, row: &Row, hold: Option<Precedence>, now: Instant) {
         let target = match row.target.parse() {
             Ok(target) => target,
             Err(error) => {
@@ -484,7 +484,7 @@
     }
 
     /// Records that what is known was the newest at `asked`.
-    pub fn prove(&self, asked: Instant) {
+    pub fn confirm_at(&self, asked: Instant) {
         if self.proven.get().is_none_or(|earlier| earlier < asked) {
             self.proven.set(Some(asked));
         }
@@ -499,17 +499,17 @@
     /// Where the next sending of a request goes. `again`: it was sent before, so that
     /// its caller waits already; a release that is on trial gets no such request.
     /// `servers`: how many servers of a release take requests.
-    pub fn aim(
+    pub fn release_selector(
         &self,
         service: &ids::Service,
         again: bool,
         trust: Duration,
         servers: impl Fn(&Release) -> usize,
         now: Instant,
-    ) -> Aim {
+    ) -> Selector {
         let all = self.known.borrow();
         let Some(known) = all.get(service) else {
-            return Aim::Any;
+            return Selector::Any;
         };
         let release = known.order.target.clone();
         if known.state() == State::Completed {
@@ -521,11 +521,11 @@
             return whole(release, known.revision.number());
         }
         if again || !self.take_credit(service, share) {
-            return Aim::Others(release);
+            return Selector::Others(release);
         }
         let count = servers(&release).max(1) as f64;
         let part = (share / LOAD_PART).max(TRIED_MIN / count).min(1.0);
-        Aim::Target {
+        Selector::Target {
             release,
             part,
             order: known.revision.number(),
@@ -546,8 +546,8 @@
     }
 }
 
-fn whole(release: Release, order: u64) -> Aim {
-    Aim::Target {
+fn whole(release: Release, order: u64) -> Selector {
+    Selector::Target {
         release,
         part: 1.0,
         order,
--- a/crates/relay/src/rollout/plan.rs
+++ b/crates/relay/src/rollout/plan.rs
@@ -32,7 +32,7 @@
 
 /// What is known when a step is weighed.
 #[derive(Debug, Clone, Copy)]
-pub struct Look {
+pub struct Observation {
     /// The stage, once there is one.
     pub stage: Option<Stage>,
     /// Time since the order.
@@ -50,16 +50,16 @@
     /// Time for which nothing ran at the servers of other releases.
     pub idle: Duration,
     /// Share of requests that the operator bears for a bad release.
-    pub bearable: f64,
+    pub max_exposure: f64,
 }
 
 /// What is to be written, if anything.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Step {
     /// Nothing.
-    Stay,
+    Wait,
     /// The stage that is known: the store went back behind it.
-    Again,
+    Rewrite,
     /// The release gets this share.
     Share(f64),
     /// It alone serves.
@@ -69,23 +69,23 @@
 }
 
 /// The next step.
-pub fn step(look: &Look) -> Step {
+pub fn step(look: &Observation) -> Step {
     let Some(stage) = look.stage else {
         // The operator hears at once that the order is known.
         return Step::Share(0.0);
     };
     if stage.state != State::InProgress {
-        return Step::Stay;
+        return Step::Wait;
     }
     if look.fault.is_some() {
         return Step::RollBack;
     }
     let late = look.elapsed >= look.within;
-    let trial = TRIAL_PART * look.bearable;
-    let wider = (WIDER_PART * look.bearable).min(1.0);
+    let trial = TRIAL_PART * look.max_exposure;
+    let wider = (WIDER_PART * look.max_exposure).min(1.0);
     if stage.share >= 1.0 {
         let idle = look.staged >= ALONE_TIME && look.idle >= IDLE_TIME;
-        return if idle { Step::Complete } else { Step::Stay };
+        return if idle { Step::Complete } else { Step::Wait };
     }
     if late {
         return Step::RollBack;
@@ -94,19 +94,19 @@
     if stage.share < trial {
         match look.serves {
             true => Step::Share(trial),
-            false => Step::Stay,
+            false => Step::Wait,
         }
     } else if stage.share < wider {
         let over = look.elapsed >= look.within.mul_f64(TRIAL_TIME);
         match tried && over {
             true => Step::Share(wider),
-            false => Step::Stay,
+            false => Step::Wait,
         }
     } else {
         let over = look.staged >= look.within.mul_f64(WIDER_TIME);
         match tried && over {
             true => Step::Share(1.0),
-            false => Step::Stay,
+            false => Step::Wait,
         }
     }
 }
--- a/crates/relay/src/conduct.rs
+++ b/crates/relay/src/rollout_controller.rs
@@ -21,7 +21,7 @@
 use crate::follow::Follower;
 use crate::peer::registry::Registry;
 use crate::rollout::judge::{self, Fault};
-use crate::rollout::plan::{self, Look, Step};
+use crate::rollout::plan::{self, Observation, Step};
 use crate::rollout::stage::{self, Stage};
 use crate::rollout::Known;
 
@@ -97,10 +97,10 @@
     let now = Instant::now();
     let look = look(follower, known, memory, now);
     let step = match known.stage {
-        Some(_) if known.is_unwritten() => Step::Again,
+        Some(_) if known.is_unwritten() => Step::Rewrite,
         _ => plan::step(&look),
     };
-    if step == Step::Stay {
+    if step == Step::Wait {
         memory.due = None;
         return;
     }
@@ -129,10 +129,10 @@
 }
 
 /// The stage that a step leads to.
-fn next(step: Step, known: &Known, look: &Look) -> Option<Stage> {
+fn next(step: Step, known: &Known, look: &Observation) -> Option<Stage> {
     let (state, share) = match step {
-        Step::Stay => return None,
-        Step::Again => return known.stage,
+        Step::Wait => return None,
+        Step::Rewrite => return known.stage,
         Step::Share(share) => (State::InProgress, share),
         Step::Complete => (State::Completed, 1.0),
         Step::RollBack => (State::RolledBack, 0.0),
@@ -146,14 +146,14 @@
 }
 
 /// What is known of an order now.
-fn look(follower: &Follower, known: &Known, memory: &mut Memory, now: Instant) -> Look {
+fn look(follower: &Follower, known: &Known, memory: &mut Memory, now: Instant) -> Observation {
     let relay = follower.relay();
     let (service, target) = (&known.order.service, &known.order.target);
     let rows = relay.rollouts.evidence.all(now);
-    let running = relay.under_way_at_others(service, target, now);
+    let running = relay.in_flight_on_other_releases(service, target, now);
     memory.idle = (running == 0).then(|| memory.idle.unwrap_or(now));
     let serving = relay.fleet.serving(service);
-    Look {
+    Observation {
         stage: known.stage,
         elapsed: known.elapsed(now),
         staged: now.saturating_duration_since(known.since),
@@ -166,11 +166,11 @@
         idle: memory
             .idle
             .map_or(Duration::ZERO, |since| now.saturating_duration_since(since)),
-        bearable: relay.bounds().exposure,
+        max_exposure: relay.bounds().exposure,
     }
 }
 
-fn note(known: &Known, stage: &Stage, look: &Look) {
+fn note(known: &Known, stage: &Stage, look: &Observation) {
     let why = look.fault.as_ref().map(Fault::to_string);
     log::info!(
         target: "belief",
@@ -214,11 +214,11 @@
             rollouts.stage(service, stage, revision, Instant::now());
         }
         Swap::Conflict(Current::Items(items)) => follower.take_stages(&items),
-        Swap::OtherEra => log::warn!(
+        Swap::EraChanged => log::warn!(
             target: "belief",
             "event=rollout_step_void service={service} why=\"the store went back to a copy\""
         ),
-        Swap::Conflict(Current::Untold) | Swap::NoLease => {}
+        Swap::Conflict(Current::NotReported) | Swap::LeaseExpired => {}
     }
     Ok(())
 }
--- a/crates/relay/src/router.rs
+++ b/crates/relay/src/router.rs
@@ -15,20 +15,20 @@
 use tidepier_platform::store::Client;
 
 use crate::budget::{self, Budget};
-use crate::callers;
-use crate::conduct;
-use crate::content::Content;
+use crate::client_connections;
+use crate::content::Fingerprint;
 use crate::crash;
 use crate::fleet::watch;
 use crate::follow::Follower;
 use crate::metrics;
 use crate::peer::registry::{Member, Registry};
-use crate::peer::{ask, hub, memory, seed, traffic};
+use crate::peer::{recovery, responder, seed, traffic, upstream};
 use crate::ready;
 use crate::recall;
 use crate::relay::{Bounds, Relay};
+use crate::rollout_controller;
 use crate::settings::{self, Settings};
-use crate::signal::{Change, Changes};
+use crate::signal::{Request, Requests};
 use crate::stop::Phase;
 use crate::traffic::Progress;
 
@@ -51,7 +51,7 @@
 /// # Errors
 ///
 /// An address cannot be bound.
-pub async fn run(settings: Settings, mut changes: Changes) -> eyre::Result<()> {
+pub async fn run(settings: Settings, mut changes: Requests) -> eyre::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     let router = Router::start(&settings, &executor)?;
     // A task of its own: what is run here itself is polled whenever any task is
@@ -59,8 +59,8 @@
     let until_stopped = executor.spawn(async move {
         loop {
             match changes.next().await {
-                Change::Stop => break,
-                Change::Reload => reload(&router, &changes),
+                Request::Stop => break,
+                Request::Reload => reload(&router, &changes),
             }
         }
         router.stop().await;
@@ -73,13 +73,13 @@
 /// as the executor.
 pub struct Router {
     relay: Rc<Relay>,
-    callers: SocketAddr,
-    readiness: Option<SocketAddr>,
-    metrics: Option<SocketAddr>,
+    client_address: SocketAddr,
+    readiness_address: Option<SocketAddr>,
+    metrics_address: Option<SocketAddr>,
     /// Time from the request to stop until the process is killed.
     stop_within: Cell<Duration>,
     /// Contents that the settings let pass.
-    pardoned: RefCell<BTreeSet<Content>>,
+    pardoned: RefCell<BTreeSet<Fingerprint>>,
     /// Servers whose rests the settings end.
     woken: RefCell<BTreeSet<ids::Server>>,
 }
@@ -102,19 +102,23 @@
         let callers = Listener::bind(settings.callers).wrap_err("binding the callers' address")?;
         let mut router = Self {
             relay: relay.clone(),
-            callers: callers.address()?,
-            readiness: None,
-            metrics: None,
+            client_address: callers.address()?,
+            readiness_address: None,
+            metrics_address: None,
             stop_within: Cell::new(settings.bounds.stop_within.duration()),
             pardoned: RefCell::new(settings.pardoned.clone()),
             woken: RefCell::new(settings.woken.clone()),
         };
         executor
-            .spawn(callers::accept(relay.clone(), callers, executor.clone()))
+            .spawn(client_connections::accept(
+                relay.clone(),
+                callers,
+                executor.clone(),
+            ))
             .detach();
         if let Some(address) = settings.readiness {
             let listener = Listener::bind(address).wrap_err("binding the readiness address")?;
-            router.readiness = Some(listener.address()?);
+            router.readiness_address = Some(listener.address()?);
             let relay = relay.clone();
             executor
                 .spawn(async move { ready::serve(listener, || relay.is_ready()).await })
@@ -122,22 +126,32 @@
         }
         if let Some(address) = settings.metrics {
             let listener = Listener::bind(address).wrap_err("binding the metrics address")?;
-            router.metrics = Some(listener.address()?);
+            router.metrics_address = Some(listener.address()?);
             let registry = metrics::install()?;
             executor.spawn(metrics::serve(listener, registry)).detach();
         }
         let store = Rc::new(Client::new(settings.store.address));
         let follower = Follower::new(relay.clone(), store.clone());
         executor.spawn(follower.clone().catalog()).detach();
-        executor.spawn(follower.clone().prove()).detach();
+        executor
+            .spawn(follower.clone().run_freshness_checks())
+            .detach();
         executor.spawn(follower.clone().servers()).detach();
-        executor.spawn(follower.clone().lapses()).detach();
-        executor.spawn(follower.clone().emptying()).detach();
-        executor.spawn(follower.clone().believe_copies()).detach();
-        executor.spawn(follower.clone().believe_entries()).detach();
-        let inquiry = crash::inquire(relay.crashes.clone(), executor.clone());
+        executor
+            .spawn(follower.clone().drop_lapsed_servers())
+            .detach();
+        executor.spawn(follower.clone().report_emptying()).detach();
+        executor
+            .spawn(follower.clone().release_withheld_servers())
+            .detach();
+        executor
+            .spawn(follower.clone().expire_held_entries())
+            .detach();
+        let inquiry = crash::probe_suspects(relay.crashes.clone(), executor.clone());
         executor.spawn(inquiry).detach();
-        executor.spawn(crash::tidy(relay.crashes.clone())).detach();
+        executor
+            .spawn(crash::run_expiry(relay.crashes.clone()))
+            .detach();
         executor.spawn(watch::run(relay.fleet.clone())).detach();
         executor.spawn(tidepier_clock::watch()).detach();
         start_peers(&relay, follower, store, settings, executor)?;
@@ -146,18 +160,18 @@
 
     /// Where clients connect; with the port that the system picked if the
     /// settings give none.
-    pub fn callers(&self) -> SocketAddr {
-        self.callers
+    pub fn client_address(&self) -> SocketAddr {
+        self.client_address
     }
 
     /// Where the platform asks whether it is ready.
-    pub fn readiness(&self) -> Option<SocketAddr> {
-        self.readiness
+    pub fn readiness_address(&self) -> Option<SocketAddr> {
+        self.readiness_address
     }
 
     /// Where it serves its metrics.
-    pub fn metrics(&self) -> Option<SocketAddr> {
-        self.metrics
+    pub fn metrics_address(&self) -> Option<SocketAddr> {
+        self.metrics_address
     }
 
     /// What its tasks share.
@@ -166,11 +180,11 @@
     }
 
     /// Takes over what can change while running.
-    pub fn take_over(&self, settings: &Settings) {
+    pub fn apply_settings(&self, settings: &Settings) {
         self.relay.set_bounds(bounds(settings));
         self.relay.set_regions(settings.regions.clone());
         self.relay.set_descriptors(settings.limits.descriptors);
-        self.relay.budget.set_terms(terms(settings));
+        self.relay.budget.set_limits(terms(settings));
         self.stop_within.set(settings.bounds.stop_within.duration());
         let before = self.pardoned.replace(settings.pardoned.clone());
         for content in settings.pardoned.difference(&before) {
@@ -178,7 +192,7 @@
         }
         let before = self.woken.replace(settings.woken.clone());
         for server in settings.woken.difference(&before) {
-            if self.relay.fleet.wake(server) {
+            if self.relay.fleet.cancel_backoff(server) {
                 log::info!(target: "belief", "event=rest_over server={server} why=operator");
             }
         }
@@ -200,13 +214,13 @@
     executor: &Rc<LocalExecutor<'static>>,
 ) -> eyre::Result<()> {
     let Some(ports) = settings.peer_ports else {
-        let alone = conduct::run(follower.clone(), store, None);
+        let alone = rollout_controller::run(follower.clone(), store, None);
         executor.spawn(alone).detach();
-        follower.read_self("alone", true);
-        let asking = memory::run(follower, None, Vec::new(), executor.clone());
+        follower.set_reads_store("alone", true);
+        let asking = recovery::run(follower, None, Vec::new(), executor.clone());
         executor.spawn(asking).detach();
         let now = Instant::now();
-        relay.roster.alone(&settings.name, &settings.hall, now);
+        relay.roster.set_single(&settings.name, &settings.hall, now);
         return Ok(());
     };
     let address = SocketAddr::new(settings.callers.ip(), ports.first);
@@ -219,20 +233,20 @@
     };
     if settings.first_start {
         // All boxes start now, and list each other at once.
-        relay.roster.known(Instant::now());
-        relay.standing.start_first();
+        relay.roster.set_listed(Instant::now());
+        relay.standing.record_first_start();
         // No engine keeps anything yet.
         relay.traffic.set_progress(Progress::Done);
     }
     let registry = Registry::new(me, store.clone());
-    let conducting = conduct::run(follower.clone(), store, Some(registry.clone()));
+    let conducting = rollout_controller::run(follower.clone(), store, Some(registry.clone()));
     executor.spawn(conducting).detach();
     executor
-        .spawn(registry.clone().keep(relay.clone()))
+        .spawn(registry.clone().maintain(relay.clone()))
         .detach();
-    executor.spawn(follower.clone().look_at_age()).detach();
+    executor.spawn(follower.clone().watch_age()).detach();
     executor
-        .spawn(hub::serve(
+        .spawn(responder::serve(
             listener,
             follower.clone(),
             registry.clone(),
@@ -240,7 +254,7 @@
         ))
         .detach();
     let seeds = seeds(settings, ports.first);
-    let asking = memory::run(
+    let asking = recovery::run(
         follower.clone(),
         Some(registry.clone()),
         seeds.clone(),
@@ -254,8 +268,8 @@
         let (follower, registry) = (follower.clone(), registry.clone());
         async move {
             loop {
-                follower.restored().await;
-                registry.look_again();
+                follower.wait_for_restore().await;
+                registry.request_reread();
             }
         }
     };
@@ -274,7 +288,7 @@
             executor.clone(),
         ))
         .detach();
-    executor.spawn(ask::run(follower, registry)).detach();
+    executor.spawn(upstream::run(follower, registry)).detach();
     Ok(())
 }
 
@@ -290,14 +304,14 @@
     let bounds = &settings.bounds;
     let revoke = bounds.revoke_within.duration();
     Bounds {
-        fresh: bounds.apply_within.duration(),
-        confirm: bounds.apply_within.min(bounds.empty_within).duration(),
-        trusted: bounds
+        catalog_max_age: bounds.apply_within.duration(),
+        confirm_within: bounds.apply_within.min(bounds.empty_within).duration(),
+        key_max_age: bounds
             .revoke_when_blind
             .then(|| revoke.saturating_sub(REVOKE_MARGIN)),
-        contact: bounds.contact.duration(),
-        rewrite: revoke,
-        silence: bounds.heartbeat.duration() * SILENCE_HEARTBEATS,
+        grace_period: bounds.contact.duration(),
+        rewrite_within: revoke,
+        entry_ttl: bounds.heartbeat.duration() * SILENCE_HEARTBEATS,
         cold_overage: bounds.cold_overage,
         cold_tolerance: bounds.cold_tolerance,
         crowd_factor: bounds.crowd_factor,
@@ -306,9 +320,9 @@
     }
 }
 
-fn terms(settings: &Settings) -> budget::Terms {
+fn terms(settings: &Settings) -> budget::Limits {
     let bounds = &settings.bounds;
-    budget::Terms {
+    budget::Limits {
         ratio: bounds.retry_share,
         extra: bounds.retry_extra,
         window: bounds.retry_window.duration(),
@@ -344,10 +358,10 @@
 }
 
 /// Reads the settings again and takes over what can change while running.
-fn reload(router: &Router, changes: &Changes) {
+fn reload(router: &Router, changes: &Requests) {
     match settings::read(changes.file()) {
         Ok(settings) => {
-            router.take_over(&settings);
+            router.apply_settings(&settings);
             log::info!(target: "process", "event=reloaded file={}", changes.file().display());
         }
         Err(error) => {
--- a/crates/relay/src/record.rs
+++ b/crates/relay/src/server_history.rs
@@ -9,9 +9,9 @@
 use tidepier_core::era::Revision;
 use tidepier_ids as ids;
 
+use crate::era_state::Precedence;
 use crate::message::follow::{Change, Position, Row, Servers};
 use crate::message::part::{Part, Piece};
-use crate::standing::Hold;
 
 /// Changes kept; a box that is further behind gets more than it lacks.
 const CHANGES_MAX: usize = 64;
@@ -26,15 +26,15 @@
 const GONE_MAX: NonZeroUsize = NonZeroUsize::new(512).unwrap();
 
 /// The record of one process.
-pub struct Record {
+pub struct History {
     life: u64,
     count: Cell<u64>,
     changes: RefCell<VecDeque<Change>>,
     servers: RefCell<BTreeMap<ids::Server, Row>>,
     /// The newest revision of the store that anything here is from.
-    seen: Cell<Revision>,
+    newest_revision: Cell<Revision>,
     /// Revision of the store up to which all is known, if it is.
-    whole: Cell<Revision>,
+    complete_revision: Cell<Revision>,
     /// Servers that are gone, each as of a revision.
     gone: RefCell<LruCache<ids::Server, Revision>>,
     /// Revision from which on all that are gone are remembered; `None`: none are.
@@ -43,16 +43,16 @@
 
 /// What the asker of a part has.
 #[derive(Debug, Clone, Default)]
-pub struct Place {
+pub struct Cursor {
     /// Where it stands in this record.
     pub position: Position,
     /// The last server that it has of a list of all.
     pub after: Option<ids::Server>,
     /// Revision of the store up to which it knows all, if it does.
-    pub whole: Revision,
+    pub complete_revision: Revision,
 }
 
-impl Default for Record {
+impl Default for History {
     fn default() -> Self {
         Self {
             // 0 is the place of a box that knows nothing.
@@ -60,28 +60,29 @@
             count: Cell::new(0),
             changes: RefCell::default(),
             servers: RefCell::default(),
-            seen: Cell::default(),
-            whole: Cell::default(),
+            newest_revision: Cell::default(),
+            complete_revision: Cell::default(),
             gone: RefCell::new(LruCache::new(GONE_MAX)),
             gone_since: Cell::new(None),
         }
     }
 }
 
-impl Record {
+impl History {
     /// The newest revision of the store that anything here is from.
-    pub fn seen(&self) -> Revision {
-        self.seen.get()
+    pub fn newest_revision(&self) -> Revision {
+        self.newest_revision.get()
     }
 
     /// Records that all is known up to a revision of the store.
-    pub fn see(&self, revision: Revision) {
-        self.seen.set(self.seen.get().max(revision));
+    pub fn observe(&self, revision: Revision) {
+        self.newest_revision
+            .set(self.newest_revision.get().max(revision));
     }
 
     /// Revision of the store up to which all servers are known, if they are.
-    pub fn whole(&self) -> Revision {
-        self.whole.get()
+    pub fn complete_revision(&self) -> Revision {
+        self.complete_revision.get()
     }
 
     /// Records that all servers are known up to a revision of the store.
@@ -91,8 +92,9 @@
         if since.is_none_or(|since| since.era() < revision.era()) {
             self.gone_since.set(Some(revision));
         }
-        self.whole.set(self.whole.get().max(revision));
-        self.see(revision);
+        self.complete_revision
+            .set(self.complete_revision.get().max(revision));
+        self.observe(revision);
     }
 
     /// How many changes there were.
@@ -121,19 +123,21 @@
 
     /// Whether what is known stands against an entry: its server is gone since, or said
     /// something else than the entry, which the store may have gone back to.
-    pub fn stands_against(&self, row: &Row, hold: Hold) -> bool {
+    pub fn stands_against(&self, row: &Row, hold: Precedence) -> bool {
         let gone = self.gone.borrow();
         let gone = gone.peek(row.id()).copied();
         let servers = self.servers.borrow();
-        let differs = servers.get(row.id()).filter(|known| !row.repeats(known));
+        let differs = servers
+            .get(row.id())
+            .filter(|known| !row.adds_nothing_to(known));
         let differs = differs.map(Row::revision);
         let mut known = gone.into_iter().chain(differs);
         known.any(|known| hold.keeps(known, row.revision()))
     }
 
     /// Records that a server came or changed.
-    pub fn is(&self, row: Row) {
-        self.see(row.revision());
+    pub fn upsert(&self, row: Row) {
+        self.observe(row.revision());
         let known = self
             .servers
             .borrow_mut()
@@ -141,7 +145,7 @@
         if known.as_ref() == Some(&row) {
             return;
         }
-        self.push(Change::Is(row));
+        self.push(Change::Upserted(row));
     }
 
     /// Takes over an entry that says the same of its server as the known one, but
@@ -152,17 +156,17 @@
         let Some(known) = servers.get_mut(row.id()) else {
             return false;
         };
-        let repeats = known.clone().at(row.revision()) == *row;
+        let repeats = known.clone().with_revision(row.revision()) == *row;
         if repeats {
             *known = row.clone();
-            self.see(row.revision());
+            self.observe(row.revision());
         }
         repeats
     }
 
     /// Records that a server is gone as of a revision.
     pub fn gone(&self, id: &ids::Server, revision: Revision) {
-        self.see(revision);
+        self.observe(revision);
         let forgotten = self.gone.borrow_mut().push(id.clone(), revision);
         if let Some((other, at)) = forgotten.filter(|(other, _)| other != id) {
             log::debug!(target: "belief", "event=gone_forgotten id={other}");
@@ -171,7 +175,7 @@
             self.gone_since.set(since);
         }
         self.servers.borrow_mut().remove(id);
-        self.push(Change::Gone(id.clone(), revision));
+        self.push(Change::Removed(id.clone(), revision));
     }
 
     fn push(&self, change: Change) {
@@ -186,7 +190,7 @@
 
     /// What a box at `place` lacks, or the next piece of it, and its position after
     /// that. A box in the midst of a list keeps the position of its first piece.
-    pub fn part(&self, place: &Place) -> (Part, Position) {
+    pub fn part(&self, place: &Cursor) -> (Part, Position) {
         let now = Position {
             life: self.life,
             changes: self.count.get(),
@@ -196,7 +200,7 @@
             (self.piece(place.after.as_ref()), place.position)
         } else if let Some(part) = known.then(|| self.changed(place.position)).flatten() {
             (part, now)
-        } else if let Some(part) = self.changed_since(place.whole) {
+        } else if let Some(part) = self.changed_since(place.complete_revision) {
             (part, now)
         } else {
             (self.piece(None), now)
@@ -215,25 +219,25 @@
             last.insert(change.id(), change);
         }
         let rows = last.values().filter_map(|change| match change {
-            Change::Is(row) => Some(row.clone()),
-            Change::Gone(..) => None,
+            Change::Upserted(row) => Some(row.clone()),
+            Change::Removed(..) => None,
         });
         let gone = last.values().filter_map(|change| match change {
-            Change::Is(_) => None,
-            Change::Gone(id, revision) => Some((id.clone(), *revision)),
+            Change::Upserted(_) => None,
+            Change::Removed(id, revision) => Some((id.clone(), *revision)),
         });
         Some(self.told(rows).with_gone(gone))
     }
 
     fn told(&self, rows: impl IntoIterator<Item = Row>) -> Part {
-        Part::new(self.whole.get(), rows)
+        Part::new(self.complete_revision.get(), rows)
     }
 
     /// What changed since a revision of the store, for a box that knows all up to it;
     /// `None`: that is not known here, as a revision of another era.
     fn changed_since(&self, revision: Revision) -> Option<Part> {
         let since = self.gone_since.get()?;
-        let same_era = revision.era() == self.whole.get().era();
+        let same_era = revision.era() == self.complete_revision.get().era();
         if revision.is_none() || !same_era || revision < since {
             return None;
         }
@@ -281,7 +285,7 @@
             }
             None => {
                 let servers = self.servers.borrow().values().cloned().collect();
-                Servers::All(servers, self.seen.get())
+                Servers::All(servers, self.newest_revision.get())
             }
         };
         (servers, now)
--- a/crates/relay/src/settings/mod.rs
+++ b/crates/relay/src/settings/mod.rs
@@ -19,7 +19,7 @@
 use serde::{Deserialize, Deserializer};
 use tidepier_ids as ids;
 
-use crate::content::Content;
+use crate::content::Fingerprint;
 
 pub use bounds::Bounds;
 pub use check::OutOfRange;
@@ -88,7 +88,7 @@
     /// the log names them; none by default. What is added here is taken over by a
     /// reload of any one box, which tells the others; at a start it says nothing.
     #[serde(default, deserialize_with = "contents")]
-    pub pardoned: BTreeSet<Content>,
+    pub pardoned: BTreeSet<Fingerprint>,
     /// Servers whose rest is over though they asked this box for more; none by default.
     /// A server that is added here is sent to again at the reload that brings it, on
     /// this box alone, until it asks again; at a start it says nothing.
@@ -96,7 +96,7 @@
     pub woken: BTreeSet<ids::Server>,
 }
 
-fn contents<'de, D: Deserializer<'de>>(from: D) -> Result<BTreeSet<Content>, D::Error> {
+fn contents<'de, D: Deserializer<'de>>(from: D) -> Result<BTreeSet<Fingerprint>, D::Error> {
     let texts = Vec::<String>::deserialize(from)?;
     let contents = texts.iter().map(|text| {
         let wrong = |error| format!("{text:?} is no content of a request: {error}");
--- a/crates/relay/src/signal.rs
+++ b/crates/relay/src/signal.rs
@@ -22,7 +22,7 @@
 
 /// What came from outside.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Change {
+pub enum Request {
     /// The process is to stop.
     Stop,
     /// The settings file has changed, or is said to have.
@@ -31,7 +31,7 @@
 
 /// The changes that come to this process.
 #[derive(Debug)]
-pub struct Changes {
+pub struct Requests {
     signals: Signals,
     looks: Timer,
     file: PathBuf,
@@ -58,7 +58,7 @@
     }
 }
 
-impl Changes {
+impl Requests {
     /// Takes over the signals of the process and watches the settings file.
     ///
     /// Wants to be called before the file is read, so that no change is lost
@@ -82,7 +82,7 @@
     }
 
     /// Waits for the next change. Cancelling it loses nothing.
-    pub async fn next(&mut self) -> Change {
+    pub async fn next(&mut self) -> Request {
         loop {
             let signal = next_signal(&mut self.signals);
             let look = async {
@@ -93,10 +93,10 @@
             match signal {
                 Some(Signal::Hup) => {
                     self.seen = Mark::of(&self.file);
-                    return Change::Reload;
+                    return Request::Reload;
                 }
-                Some(_) => return Change::Stop,
-                None if self.has_changed() => return Change::Reload,
+                Some(_) => return Request::Stop,
+                None if self.has_changed() => return Request::Reload,
                 None => {}
             }
         }
--- a/crates/relay/src/stop.rs
+++ b/crates/relay/src/stop.rs
@@ -3,7 +3,7 @@
 
 use std::cell::Cell;
 
-use crate::notice::Notice;
+use crate::notifier::Notifier;
 
 /// How far a stop has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -22,7 +22,7 @@
     open: Cell<u32>,
     requests: Cell<u32>,
     /// Notified when the phase changed or a request ended.
-    pub changed: Notice,
+    pub changed: Notifier,
 }
 
 impl Default for Stop {
@@ -31,7 +31,7 @@
             phase: Cell::new(Phase::Serving),
             open: Cell::new(0),
             requests: Cell::new(0),
-            changed: Notice::default(),
+            changed: Notifier::default(),
         }
     }
 }
@@ -92,7 +92,7 @@
     }
 
     /// Waits until the phase is reached.
-    pub async fn reached(&self, phase: Phase) {
+    pub async fn wait_for_phase(&self, phase: Phase) {
         while self.phase.get() < phase {
             self.changed.wait().await;
         }
--- a/crates/relay/src/traffic/coverage.rs
+++ b/crates/relay/src/traffic/coverage.rs
@@ -49,14 +49,14 @@
 
 impl Coverage {
     /// Counts a prompt of this box; whether a keeper of its subject was known.
-    pub fn placed(&self, known: bool) {
+    pub fn record_prompt(&self, known: bool) {
         let part = if known { 1.0 } else { 0.0 };
         self.known.count(part, 1.0, PROMPT_DECAY);
     }
 
     /// Counts a message with `told` placements, for want of room without
     /// `untold` further ones.
-    pub fn heard(&self, told: usize, untold: u32) {
+    pub fn record_message(&self, told: usize, untold: u32) {
         let told = told as f64;
         self.told
             .count(told, told + f64::from(untold), MESSAGE_DECAY);
@@ -64,7 +64,7 @@
 
     /// How likely a subject of which no keeper is known was asked for before: 0
     /// where all placements are told.
-    pub fn asked_before(&self) -> f64 {
+    pub fn seen_before(&self) -> f64 {
         let told = self.told.get().unwrap_or(1.0);
         let known = self.known.get().unwrap_or(told);
         // Of all subjects that were asked for before, the share that is told is
--- a/crates/relay/src/traffic/index.rs
+++ b/crates/relay/src/traffic/index.rs
@@ -2,7 +2,7 @@
 //!
 //! It knows what it sent itself, and what other boxes say that they sent. An
 //! engine that got a part keeps it until its memory gives way; nobody tells
-//! that, so an entry is believed for [`KEPT_TIME`] after its last use.
+//! that, so an entry is believed for `KEPT_TIME` after its last use.
 //!
 //! Invariant: a part counts as kept only if all before it in the prompt do.
 
@@ -20,7 +20,7 @@
 
 /// Parts remembered, the ones used last: at 20 requests a second here and 80
 /// that are told, those of over a minute.
-pub const PARTS: NonZeroUsize = NonZeroUsize::new(8_192).unwrap();
+pub const PARTS_MAX: NonZeroUsize = NonZeroUsize::new(8_192).unwrap();
 /// Time that an engine is trusted to keep a part after its last known use.
 /// Measured engines have room for what they read in four minutes.
 const KEPT_TIME: Duration = Duration::from_secs(60);
@@ -61,14 +61,14 @@
 /// One entry, for a box that knows nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, Key, u16)", into = "(u64, Key, u16)")]
-pub struct Kept {
+pub struct Entry {
     part: u64,
     server: Key,
     /// Time since its last known use, in s.
     age_s: u16,
 }
 
-impl From<(u64, Key, u16)> for Kept {
+impl From<(u64, Key, u16)> for Entry {
     fn from((part, server, age_s): (u64, Key, u16)) -> Self {
         Self {
             part,
@@ -78,8 +78,8 @@
     }
 }
 
-impl From<Kept> for (u64, Key, u16) {
-    fn from(kept: Kept) -> Self {
+impl From<Entry> for (u64, Key, u16) {
+    fn from(kept: Entry) -> Self {
         (kept.part, kept.server, kept.age_s)
     }
 }
@@ -96,7 +96,7 @@
     fn default() -> Self {
         Self {
             made: Instant::now(),
-            parts: RefCell::new(LruCache::new(PARTS)),
+            parts: RefCell::new(LruCache::new(PARTS_MAX)),
             coverage: Coverage::default(),
         }
     }
@@ -105,9 +105,10 @@
 impl Index {
     /// Records that the shared parts of a prompt were sent to a server. Returns
     /// whether others should be told of the last of them.
-    pub fn sent(&self, prompt: &Prompt, server: Key, now: Instant) -> bool {
+    pub fn record_local(&self, prompt: &Prompt, server: Key, now: Instant) -> bool {
         if let Some(subject) = prompt.subject() {
-            self.coverage.placed(!self.holders(subject, now).is_empty());
+            self.coverage
+                .record_prompt(!self.holders(subject, now).is_empty());
         }
         let shared = prompt.shared();
         let uses = shared.iter().map(|part| self.record(part.id, server, now));
@@ -116,19 +117,19 @@
 
     /// Records that another box says that it sent a part, and so all parts
     /// before it, to a server. Returns whether that is news.
-    pub fn told(&self, part: u64, server: Key, now: Instant) -> bool {
+    pub fn record_remote(&self, part: u64, server: Key, now: Instant) -> bool {
         self.record(part, server, now)
     }
 
     /// The entries used last, for a box that has just started.
-    pub fn kept(&self, now: Instant) -> Vec<Kept> {
+    pub fn export(&self, now: Instant) -> Vec<Entry> {
         let now = self.moment(now);
         let parts = self.parts.borrow();
         let holders = parts
             .iter()
             .flat_map(|(part, holders)| holders.iter().map(move |holder| (*part, holder)));
         let kept = holders.filter(|(_, holder)| holder.is_kept(now));
-        let rows = kept.map(|(part, holder)| Kept {
+        let rows = kept.map(|(part, holder)| Entry {
             part,
             server: holder.server,
             age_s: now.since(holder.used).as_secs() as u16,
@@ -137,7 +138,7 @@
     }
 
     /// Takes over what another box knows; what is known here goes before that.
-    pub fn recall(&self, kept: &[Kept], now: Instant) {
+    pub fn recall(&self, kept: &[Entry], now: Instant) {
         let now = self.moment(now);
         let mut parts = self.parts.borrow_mut();
         // The last one of the rows was used longest ago.
--- a/crates/relay/src/traffic/log.rs
+++ b/crates/relay/src/traffic/log.rs
@@ -18,21 +18,21 @@
 /// A part of a prompt that was sent to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, Key)", into = "(u64, Key)")]
-pub struct Row {
+pub struct Placement {
     /// The last shared part of the prompt.
     pub part: u64,
     /// The server.
     pub server: Key,
 }
 
-impl From<(u64, Key)> for Row {
+impl From<(u64, Key)> for Placement {
     fn from((part, server): (u64, Key)) -> Self {
         Self { part, server }
     }
 }
 
-impl From<Row> for (u64, Key) {
-    fn from(row: Row) -> Self {
+impl From<Placement> for (u64, Key) {
+    fn from(row: Placement) -> Self {
         (row.part, row.server)
     }
 }
@@ -48,11 +48,11 @@
 
 /// What is new to a reader of a log.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct News {
+pub struct Batch {
     /// The newest rows.
-    pub rows: Vec<Row>,
+    pub rows: Vec<Placement>,
     /// Rows that were left out for want of room.
-    pub untold: u32,
+    pub omitted: u32,
     /// The reader's place after all of them.
     pub place: Position,
 }
@@ -79,7 +79,7 @@
 pub struct Log {
     life: u64,
     count: Cell<u64>,
-    rows: RefCell<VecDeque<(Row, Option<Peer>)>>,
+    rows: RefCell<VecDeque<(Placement, Option<Peer>)>>,
 }
 
 impl Default for Log {
@@ -94,7 +94,7 @@
 
 impl Log {
     /// Appends a row; `from` is who told it, `None` this box.
-    pub fn push(&self, row: Row, from: Option<Peer>) {
+    pub fn push(&self, row: Placement, from: Option<Peer>) {
         let mut rows = self.rows.borrow_mut();
         if rows.len() == ROWS {
             rows.pop_front();
@@ -118,7 +118,7 @@
         place: Position,
         most: usize,
         wanted: impl Fn(Option<&Peer>) -> bool,
-    ) -> News {
+    ) -> Batch {
         let rows = self.rows.borrow();
         let after = match place.life == self.life {
             true => self.count.get().saturating_sub(place.rows),
@@ -128,16 +128,16 @@
         let missed = after.saturating_sub(rows.len() as u64);
         let news = rows.iter().rev().take(after as usize);
         let wanted = news.filter(|(_, from)| wanted(from.as_ref()));
-        let mut newest: Vec<Row> = wanted.map(|(row, _)| *row).collect();
+        let mut newest: Vec<Placement> = wanted.map(|(row, _)| *row).collect();
         let left_out = missed + newest.len().saturating_sub(most) as u64;
         if left_out > 0 {
             metrics::counter!("tidepier_placements_untold_total").increment(left_out);
         }
         newest.truncate(most);
         newest.reverse();
-        News {
+        Batch {
             rows: newest,
-            untold: u32::try_from(left_out).unwrap_or(u32::MAX),
+            omitted: u32::try_from(left_out).unwrap_or(u32::MAX),
             place: self.end(),
         }
     }
--- a/crates/relay/src/traffic/mod.rs
+++ b/crates/relay/src/traffic/mod.rs
@@ -24,8 +24,8 @@
 
 use crate::fleet::Key;
 use index::Index;
-use log::{Log, News, Peer, Position, Row};
-use tally::{Sum, Tally};
+use log::{Batch, Log, Peer, Placement, Position};
+use tally::{Tally, Totals};
 
 /// Most rows in one message: 1.5 KB, and so 3 KB a second where each box asks
 /// each 0.4 s and all rows are used, which is twice what was measured.
@@ -60,43 +60,50 @@
 impl Traffic {
     /// Records that this box sent a prompt to a server.
     pub fn sent(&self, prompt: &Prompt, server: Key, now: Instant) {
-        if !self.index.sent(prompt, server, now) {
+        if !self.index.record_local(prompt, server, now) {
             return;
         }
         if let Some(subject) = prompt.subject() {
             let part = subject.id;
-            self.log.push(Row { part, server }, None);
+            self.log.push(Placement { part, server }, None);
         }
     }
 
     /// Takes over what a peer told.
-    pub fn take(&self, from: Peer, sum: Sum, rows: &[Row], untold: u32, now: Instant) {
+    pub fn merge_report(
+        &self,
+        from: Peer,
+        sum: Totals,
+        rows: &[Placement],
+        untold: u32,
+        now: Instant,
+    ) {
         self.tally.report(from.clone(), sum, now);
-        self.index.coverage.heard(rows.len(), untold);
+        self.index.coverage.record_message(rows.len(), untold);
         for row in rows {
-            if self.index.told(row.part, row.server, now) {
+            if self.index.record_remote(row.part, row.server, now) {
                 self.log.push(*row, Some(from.clone()));
             }
         }
     }
 
     /// Forgets the counts of a peer that no longer reports.
-    pub fn leave(&self, from: &Peer) {
+    pub fn remove_peer(&self, from: &Peer) {
         self.tally.leave(from);
     }
 
     /// Requests under way at other boxes, without those of `but`.
-    pub fn others(&self, but: Option<&Peer>, now: Instant) -> Sum {
+    pub fn others(&self, but: Option<&Peer>, now: Instant) -> Totals {
         self.tally.others(but, now)
     }
 
     /// Requests under way at boxes that ask this one.
-    pub fn members(&self, now: Instant) -> Sum {
+    pub fn members(&self, now: Instant) -> Totals {
         self.tally.members(now)
     }
 
     /// A number for a box that begins to ask.
-    pub fn join(&self) -> u64 {
+    pub fn next_member_number(&self) -> u64 {
         self.joined.set(self.joined.get() + 1);
         self.joined.get()
     }
@@ -122,24 +129,24 @@
     }
 
     /// New rows for a box that asks this one: all that it did not tell itself.
-    pub fn rows_for(&self, member: &Peer, place: Position) -> News {
+    pub fn rows_for_member(&self, member: &Peer, place: Position) -> Batch {
         let wanted = |from: Option<&Peer>| from != Some(member);
         self.log.since(place, ROWS_MAX, wanted)
     }
 
     /// Rows of this box and those that ask it that no hub of this hall has got
     /// yet.
-    pub fn rows_for_hub(&self) -> News {
-        self.rows_from_here(self.told.get())
+    pub fn rows_for_hub(&self) -> Batch {
+        self.rows_of_hall(self.told.get())
     }
 
     /// Records that the hub has got all rows before a place.
-    pub fn set_told(&self, place: Position) {
+    pub fn set_hub_position(&self, place: Position) {
         self.told.set(place);
     }
 
     /// New rows of this box and those that ask it, for another hall.
-    pub fn rows_from_here(&self, place: Position) -> News {
+    pub fn rows_of_hall(&self, place: Position) -> Batch {
         let wanted = |from: Option<&Peer>| from.is_none_or(Peer::is_member);
         self.log.since(place, ROWS_MAX, wanted)
     }
--- a/crates/relay/src/traffic/tally.rs
+++ b/crates/relay/src/traffic/tally.rs
@@ -27,16 +27,16 @@
 
 /// Requests under way by server, of some boxes together.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Sum {
+pub struct Totals {
     /// How many boxes have been added up.
     pub boxes: u32,
     /// Requests by server; servers without any may be missing.
     pub requests: HashMap<Key, u32>,
 }
 
-impl Sum {
+impl Totals {
     /// Adds the counts of other boxes.
-    pub fn add(&mut self, other: &Sum) {
+    pub fn add(&mut self, other: &Totals) {
         self.boxes = self.boxes.saturating_add(other.boxes);
         for (server, requests) in &other.requests {
             let sum = self.requests.entry(*server).or_default();
@@ -45,7 +45,7 @@
     }
 
     /// Takes away what was added before.
-    fn subtract(&mut self, other: &Sum) {
+    fn subtract(&mut self, other: &Totals) {
         self.boxes = self.boxes.saturating_sub(other.boxes);
         for (server, requests) in &other.requests {
             let Some(left) = self.requests.get_mut(server) else {
@@ -72,13 +72,13 @@
 
 /// What was told over one connection, so that only changes need be sent.
 #[derive(Debug, Default)]
-pub struct Told(HashMap<Key, u32>);
+pub struct Baseline(HashMap<Key, u32>);
 
-impl Told {
+impl Baseline {
     /// What is to be sent so that the other side knows `sum` well enough: at most
     /// `most` counts, those of the servers with the most requests, now or by what
     /// was told. The others follow with later messages.
-    pub fn changes(&mut self, sum: &Sum, most: usize) -> Vec<Count> {
+    pub fn changes(&mut self, sum: &Totals, most: usize) -> Vec<Count> {
         let gone = self.0.keys().filter(|key| !sum.requests.contains_key(key));
         let gone = gone.map(|server| (*server, 0));
         let now = sum.requests.iter().map(|(server, n)| (*server, *n));
@@ -107,7 +107,7 @@
 
 struct Report {
     at: Instant,
-    sum: Sum,
+    sum: Totals,
 }
 
 /// What others reported last, and the sum of it.
@@ -115,12 +115,12 @@
 pub struct Tally {
     reports: RefCell<HashMap<Peer, Report>>,
     /// Kept with each report, since a hub is asked for it 150 times a second.
-    total: RefCell<Sum>,
+    total: RefCell<Totals>,
 }
 
 impl Tally {
     /// Takes over a report.
-    pub fn report(&self, from: Peer, sum: Sum, at: Instant) {
+    pub fn report(&self, from: Peer, sum: Totals, at: Instant) {
         self.leave(&from);
         self.total.borrow_mut().add(&sum);
         self.reports.borrow_mut().insert(from, Report { at, sum });
@@ -135,7 +135,7 @@
     }
 
     /// The sum of all recent reports but that of `but`.
-    pub fn others(&self, but: Option<&Peer>, now: Instant) -> Sum {
+    pub fn others(&self, but: Option<&Peer>, now: Instant) -> Totals {
         self.forget_old(now);
         let mut sum = self.total.borrow().clone();
         let reports = self.reports.borrow();
@@ -156,9 +156,9 @@
     }
 
     /// The sum of the reports of those that ask this box.
-    pub fn members(&self, now: Instant) -> Sum {
+    pub fn members(&self, now: Instant) -> Totals {
         self.forget_old(now);
-        let mut sum = Sum::default();
+        let mut sum = Totals::default();
         for (peer, report) in &*self.reports.borrow() {
             if peer.is_member() {
                 sum.add(&report.sum);
--- a/crates/relay/src/view.rs
+++ b/crates/relay/src/view.rs
@@ -49,7 +49,7 @@
     }
 
     /// Records that the catalog in force was the newest one at `asked`.
-    pub fn prove(&self, asked: Instant) {
+    pub fn confirm_at(&self, asked: Instant) {
         if self.proven.get().is_none_or(|earlier| earlier < asked) {
             self.proven.set(Some(asked));
         }
--- a/crates/relay/tests/platform/answer.rs
+++ b/crates/relay/tests/platform/answer.rs
@@ -5,7 +5,7 @@
 use crate::common::{head, written};
 use tidepier_core::answer::Load;
 use tidepier_platform::answer::{self, Length};
-use tidepier_platform::{call, refusal};
+use tidepier_platform::{monitoring, refusal};
 
 const ANSWER: &str = "HTTP/1.1 200 Fine
 Attempt-Id: 1
@@ -97,7 +97,7 @@
 
 #[test]
 fn rest_is_asked_for_by_a_503_alone() {
-    let rest = |text: &str| answer::decode(&head(&format!("HTTP/1.1 {text}"))).rest();
+    let rest = |text: &str| answer::decode(&head(&format!("HTTP/1.1 {text}"))).requested_backoff();
     assert_eq!(
         rest("503 Full\nRetry-After: 2.5"),
         Some(Duration::from_millis(2_500))
@@ -218,23 +218,23 @@
 
 #[test]
 fn health_and_reports_are_read() {
-    let health = call::health(&head(
+    let health = monitoring::health(&head(
         "HTTP/1.1 200 OK\nInstance-Id: i-1\nServer-Load: 1,2,3",
     ));
-    assert!(health.well);
+    assert!(health.healthy);
     assert_eq!(health.server.as_deref(), Some("i-1"));
     assert_eq!(health.load.map(|load| load.waiting), Some(2));
-    assert!(!call::health(&head("HTTP/1.1 503 Leaving")).well);
-    let report = call::report(
+    assert!(!monitoring::health(&head("HTTP/1.1 503 Leaving")).healthy);
+    let report = monitoring::report(
         br#"{"phase":"mixed","models":[],"queued":1,"active":12,"kv_used":41,"kv_total":90,"held":7}"#,
     );
     let report = report.expect("valid");
     assert_eq!((report.waiting, report.running), (1, 12));
     assert_eq!((report.memory_used, report.memory_total), (41, 90));
     assert_eq!((report.pinned, report.held), (None, Some(7)));
-    assert!(call::report(b"{\"queued\":1}").is_err());
-    assert_eq!(call::READY, "/-/readyz");
-    let asked = written(|out| call::get(call::REPORT, "10.0.0.1:80", out));
+    assert!(monitoring::report(b"{\"queued\":1}").is_err());
+    assert_eq!(monitoring::READY, "/-/readyz");
+    let asked = written(|out| monitoring::get(monitoring::REPORT, "10.0.0.1:80", out));
     assert_eq!(asked, "GET /-/report HTTP/1.1\nHost: 10.0.0.1:80\n\n");
 }
 
@@ -242,7 +242,7 @@
 fn lists_of_kept_parts_are_read() {
     let list = br#"{"epoch":3,"next_token":9,"held":[["","5c1e07a2",800,"m"],["","no id",1,"m"],
         ["","91bd3f06",410,"m"]],"more":1}"#;
-    let parts = call::kept(list).expect("valid");
+    let parts = monitoring::cached_parts(list).expect("valid");
     let parts: Vec<_> = parts.iter().map(|part| (part.id, part.tokens)).collect();
     assert_eq!(parts, [(0x5c1e_07a2, 800), (0x91bd_3f06, 410)]);
     for invalid in [
@@ -252,7 +252,7 @@
         br#"{"held":[["","5c1e07a2",-1,"m"]]}"#,
         br#"{"held":"#,
     ] {
-        assert!(call::kept(invalid).is_err(), "{invalid:?}");
+        assert!(monitoring::cached_parts(invalid).is_err(), "{invalid:?}");
     }
-    assert_eq!(call::KEPT, "/-/kv-list");
+    assert_eq!(monitoring::CACHE_LIST, "/-/kv-list");
 }
--- a/crates/relay/tests/platform/catalog.rs
+++ b/crates/relay/tests/platform/catalog.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use tidepier_core::catalog::Kind;
-use tidepier_core::server::{Birth, State};
+use tidepier_core::server::{StartTime, State};
 use tidepier_platform::catalog::{self, Invalid};
 use tidepier_platform::{key, server};
 
@@ -48,7 +48,7 @@
     assert_eq!(long.split.len(), 1);
 
     let plain = catalog.route("other.example", "/any").expect("a route");
-    assert_eq!((&*plain.name, plain.kind), ("r-c", Kind::Once));
+    assert_eq!((&*plain.name, plain.kind), ("r-c", Kind::AtMostOnce));
     assert_eq!((plain.attempts, plain.pause), (1, None));
     assert!(catalog.route("shop.example", "/").is_none());
 
@@ -190,17 +190,20 @@
     let homes = |host| {
         let route = catalog.route(host, "/x").expect("a route");
         route
-            .homes
+            .allowed_regions
             .as_ref()
             .map(|homes| homes.iter().map(ToString::to_string).collect::<Vec<_>>())
     };
     assert_eq!(homes("a"), Some(vec!["north".into(), "far".into()]));
     assert_eq!(homes("b"), None);
     let account = catalog.account("k1").expect("an account");
-    assert!(account.homes.as_ref().is_some_and(|homes| homes.len() == 1));
+    assert!(account
+        .allowed_regions
+        .as_ref()
+        .is_some_and(|homes| homes.len() == 1));
     assert!(catalog
         .account("k2")
-        .is_some_and(|account| account.homes.is_none()));
+        .is_some_and(|account| account.allowed_regions.is_none()));
     let cold = |name: &str| catalog.services[&name.parse().expect("a name")].cold;
     let known = cold("s").expect("cold after a start");
     assert_eq!(
@@ -220,7 +223,7 @@
     };
     assert_eq!(
         born("1760000000123").expect("valid"),
-        Some(Birth(1_760_000_000_123))
+        Some(StartTime(1_760_000_000_123))
     );
     assert_eq!(born("null").expect("valid"), None);
     for strange in ["1.5", "-1", "\"7\"", "[7]", "true"] {
--- a/crates/relay/tests/platform/request.rs
+++ b/crates/relay/tests/platform/request.rs
@@ -49,7 +49,10 @@
     assert_eq!(&*request.host, "shop.example");
     assert_eq!(&*request.path, "/chat/a/v1");
     assert_eq!(request.key.as_deref(), Some("k-1"));
-    assert_eq!(request.patience, Some(Duration::from_micros(2_500_500)));
+    assert_eq!(
+        request.client_timeout,
+        Some(Duration::from_micros(2_500_500))
+    );
     assert_eq!(request.resume_after, Some(17));
     let prompt = request.prompt.expect("a prompt");
     assert_eq!((prompt.input, prompt.output), (900, 120));
@@ -83,7 +86,7 @@
     let request = decoded("GET /a/ HTTP/1.1\nHost: a\nAttempt-Id: 1");
     assert!(request.prompt.is_none());
     assert!(request.key.is_none());
-    assert!(request.patience.is_none());
+    assert!(request.client_timeout.is_none());
     assert!(request.resume_after.is_none());
 }
 
@@ -112,10 +115,10 @@
     );
     assert!(request.prompt.is_none());
     assert!(request.key.is_none());
-    assert!(request.patience.is_none());
+    assert!(request.client_timeout.is_none());
     assert!(request.resume_after.is_none());
     let negative = decoded("GET / HTTP/1.1\nHost: a\nAttempt-Id: 1\nDeadline-Ms: -5");
-    assert!(negative.patience.is_none());
+    assert!(negative.client_timeout.is_none());
 }
 
 #[test]
--- a/crates/relay/tests/platform/store.rs
+++ b/crates/relay/tests/platform/store.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use tidepier_core::store::{
-    Current, Event, Failure, Item, Kept, LeaseId, Revision, Scope, Store, Swap, Watch, Write,
+    Current, Event, Failure, Item, LeaseId, LeaseState, Revision, Scope, Store, Swap, Watch, Write,
 };
 use tidepier_platform::store::Client;
 use tidepier_relay::metrics::Registry;
@@ -297,7 +297,7 @@
         );
         let conflict = Swap::Conflict(Current::Items(vec![item("k", "1", 19)]));
         assert_eq!(swap().await.expect("an answer"), conflict);
-        assert_eq!(swap().await.expect("an answer"), Swap::NoLease);
+        assert_eq!(swap().await.expect("an answer"), Swap::LeaseExpired);
         let refused = swap().await;
         assert!(matches!(refused, Err(Failure::Refused(403))), "{refused:?}");
         assert_eq!((figures.calls("swap"), figures.connections()), (4, 1));
@@ -327,10 +327,10 @@
             .await
             .expect("granted");
         assert_eq!((lease.id, lease.ttl), (LeaseId(77), ttl));
-        let kept = client.keep(lease.id, LIMIT).await.expect("an answer");
-        assert_eq!(kept, Kept::For(ttl));
-        let gone = client.keep(lease.id, LIMIT).await.expect("an answer");
-        assert_eq!(gone, Kept::Gone);
+        let kept = client.renew(lease.id, LIMIT).await.expect("an answer");
+        assert_eq!(kept, LeaseState::For(ttl));
+        let gone = client.renew(lease.id, LIMIT).await.expect("an answer");
+        assert_eq!(gone, LeaseState::Gone);
         client.end(lease.id, LIMIT).await.expect("ended");
         client.end(lease.id, LIMIT).await.expect("ended before");
         assert_eq!(
--- a/crates/relay/tests/relay/answers.rs
+++ b/crates/relay/tests/relay/answers.rs
@@ -9,8 +9,9 @@
 use tidepier_relay_standin::site::HOST;
 use tidepier_relay_standin::Client;
 
-use crate::house::{
-    self, ms, post, run, site, streaming, until, usual, whole, Executor, House, Result,
+use crate::harness::{
+    self, ensure_served_by, ms, post, run, server_settings, site, stream_server_settings,
+    wait_until, Executor, Harness, Result,
 };
 use crate::raw::{self, Raw};
 
@@ -21,12 +22,12 @@
         let answer_bytes = 300_000;
         let server = site.server(Settings {
             answer_bytes,
-            ..usual(1)
+            ..server_settings(1)
         })?;
-        let house = House::open(executor, site).await?;
+        let house = Harness::start_ready(executor, site).await?;
         let long: Vec<u8> = (0..=255u8).cycle().take(200_000).collect();
         let chunks = || long.chunks(7_001).map(Into::into).collect();
-        let mut client = Client::open(house.front()).await?;
+        let mut client = Client::open(house.router_address()).await?;
         for (target, payload) in [
             ("/r/sized?a=1%202", Payload::Sized(long.clone())),
             ("/r/chunked", Payload::Chunked(chunks())),
@@ -37,7 +38,7 @@
             let mut call = post(target, target);
             call.payload = payload.clone();
             let answer = client.call(&call).await;
-            whole(&answer, &[&server], target)?;
+            ensure_served_by(&answer, &[&server], target)?;
             let runs = server.runs();
             let run = runs.last().expect("a run");
             ensure!(run.target == target && run.method == "POST", "{run:?}");
@@ -56,20 +57,20 @@
 fn head_is_answered_without_a_body() -> Result {
     run(async |executor| {
         let site = site()?;
-        let server = site.server(usual(1))?;
-        let house = House::open(executor, site).await?;
-        let mut client = Client::open(house.front()).await?;
+        let server = site.server(server_settings(1))?;
+        let house = Harness::start_ready(executor, site).await?;
+        let mut client = Client::open(house.router_address()).await?;
         let length = server.settings().answer_bytes.to_string();
         for attempt in ["first", "second"] {
             let call = Call::new("HEAD", HOST, "/r/x", attempt);
             let answer = client.call(&call).await;
-            whole(&answer, &[&server], attempt)?;
+            ensure_served_by(&answer, &[&server], attempt)?;
             ensure!(
                 answer.field("Content-Length") == Some(&length),
                 "{answer:?}"
             );
         }
-        whole(
+        ensure_served_by(
             &client.call(&post("/o/x", "after")).await,
             &[&server],
             "after",
@@ -81,16 +82,16 @@
 fn head_of_a_stream_is_answered_without_a_body() -> Result {
     run(async |executor| {
         let site = site()?;
-        let server = site.server(streaming(1, 3, ms(5)))?;
-        let house = House::open(executor, site).await?;
+        let server = site.server(stream_server_settings(1, 3, ms(5)))?;
+        let house = Harness::start_ready(executor, site).await?;
         for target in ["/s/x", "/u/x"] {
-            let mut client = Client::open(house.front()).await?;
+            let mut client = Client::open(house.router_address()).await?;
             let call = Call::new("HEAD", HOST, target, target);
             let answer = client.call(&call).await;
             ensure!(answer.status == 200 && answer.complete, "{answer:?}");
             let after = format!("{target}-after");
             let answer = client.call(&post(target, &after)).await;
-            whole(&answer, &[&server], &after)?;
+            ensure_served_by(&answer, &[&server], &after)?;
         }
         Ok(())
     })
@@ -100,15 +101,15 @@
 fn answers_that_end_with_their_connection_are_whole() -> Result {
     run(async |executor| {
         let site = site()?;
-        let server = site.server(usual(1))?;
-        let house = House::open(executor, site).await?;
-        let mut client = Client::open(house.front()).await?;
+        let server = site.server(server_settings(1))?;
+        let house = Harness::start_ready(executor, site).await?;
+        let mut client = Client::open(house.router_address()).await?;
         for fault in [Fault::Unframed, Fault::Close] {
             server.fault(fault, u32::MAX);
             for target in ["/r/x", "/o/x"] {
                 let attempt = format!("{fault:?}{target}");
                 let answer = client.call(&post(target, &attempt)).await;
-                whole(&answer, &[&server], &attempt)?;
+                ensure_served_by(&answer, &[&server], &attempt)?;
             }
         }
         Ok(())
@@ -119,15 +120,15 @@
 fn streams_that_end_with_their_connection_are_whole() -> Result {
     run(async |executor| {
         let site = site()?;
-        let server = site.server(streaming(1, 5, ms(10)))?;
-        let house = House::open(executor, site).await?;
+        let server = site.server(stream_server_settings(1, 5, ms(10)))?;
+        let house = Harness::start_ready(executor, site).await?;
         for fault in [Fault::Unframed, Fault::Close] {
             server.fault(fault, u32::MAX);
             for target in ["/s/x", "/u/x"] {
                 let attempt = format!("{fault:?}{target}");
                 let answer = house.post(target, &attempt).await?;
                 // A client of streams takes the connection's end as theirs.
-                whole(&answer, &[&server], &attempt)?;
+                ensure_served_by(&answer, &[&server], &attempt)?;
             }
         }
         Ok(())
@@ -142,11 +143,11 @@
 fn a_stream_without_a_length_whose_server_crashes_does_not_look_whole() -> Result {
     run(async |executor| {
         let site = site()?;
-        let server = site.server(streaming(1, 40, ms(20)))?;
-        let house = House::open(executor, site).await?;
+        let server = site.server(stream_server_settings(1, 40, ms(20)))?;
+        let house = Harness::start_ready(executor, site).await?;
         server.fault(Fault::Unframed, u32::MAX);
         let crash = async {
-            until("running", async || Ok(server.running() == 1)).await?;
+            wait_until("running", async || Ok(server.running() == 1)).await?;
             Timer::after(ms(150)).await;
             server.crash();
             Result::Ok(())
@@ -165,7 +166,7 @@
 /// An answer is the right one, or no success.
 fn right_or_none(answer: &Answer, servers: &[&Server], attempt: &str) -> Result {
     if (200..300).contains(&answer.status) {
-        return whole(answer, servers, attempt);
+        return ensure_served_by(answer, servers, attempt);
     }
     ensure!(answer.status == 502, "{attempt}: {answer:?}");
     ensure!(answer.complete, "{attempt}: a refusal cut off");
@@ -176,10 +177,10 @@
 /// An answer is `lost` by the fault, or still there.
 async fn spoiled(executor: Executor, fault: Fault, lost: bool) -> Result<Vec<Run>> {
     let site = site()?;
-    let near = site.server(usual(1))?;
-    let far = site.server(usual(2))?;
-    let house = House::open(executor, site).await?;
-    let mut client = Client::open(house.front()).await?;
+    let near = site.server(server_settings(1))?;
+    let far = site.server(server_settings(2))?;
+    let house = Harness::start_ready(executor, site).await?;
+    let mut client = Client::open(house.router_address()).await?;
     let servers = [&near, &far];
     for round in 0..4 {
         for target in ["/r/x", "/o/x"] {
@@ -187,7 +188,7 @@
             let attempt = format!("{round}{target}");
             let answer = client.call(&post(target, &attempt)).await;
             right_or_none(&answer, &servers, &attempt)?;
-            let ran = house::ran(&servers, &attempt);
+            let ran = harness::count_runs(&servers, &attempt);
             match target {
                 "/r/x" => ensure!(answer.status == 200, "{answer:?}"),
                 _ => ensure!(ran <= 1, "{attempt} ran {ran} times"),
@@ -198,11 +199,11 @@
             }
             near.heal();
             if answer.field("Connection") == Some("close") {
-                client = Client::open(house.front()).await?;
+                client = Client::open(house.router_address()).await?;
             }
             let attempt = format!("{attempt}-after");
             let answer = client.call(&post(target, &attempt)).await;
-            whole(&answer, &servers, &attempt)?;
+            ensure_served_by(&answer, &servers, &attempt)?;
         }
     }
     Ok(near.runs())
@@ -258,18 +259,18 @@
 fn an_answer_may_come_before_a_long_body_is_read() -> Result {
     run(async |executor| {
         let site = site()?;
-        let server = site.server(usual(1))?;
-        let house = House::open(executor, site).await?;
-        let mut client = Client::open(house.front()).await?;
+        let server = site.server(server_settings(1))?;
+        let house = Harness::start_ready(executor, site).await?;
+        let mut client = Client::open(house.router_address()).await?;
         for (number, target) in ["/r/x", "/o/x", "/r/y", "/o/y"].into_iter().enumerate() {
             server.fault(Fault::Early, 1);
             let attempt = format!("early-{number}");
             let body = vec![b'x'; 3 << 20];
             let answer = client.call(&post(target, &attempt).body(&body)).await;
-            whole(&answer, &[&server], &attempt)?;
+            ensure_served_by(&answer, &[&server], &attempt)?;
             let attempt = format!("after-{number}");
             let answer = client.call(&post(target, &attempt)).await;
-            whole(&answer, &[&server], &attempt)?;
+            ensure_served_by(&answer, &[&server], &attempt)?;
         }
         Ok(())
     })
@@ -282,7 +283,7 @@
         let _raw = Raw::start(&executor, &site, "i-raw", |_| {
             Some(raw::answer("another", true))
         })?;
-        let house = House::open(executor, site).await?;
+        let house = Harness::start_ready(executor, site).await?;
         for (number, target) in ["/r/x", "/o/x", "/s/x", "/u/x"].into_iter().enumerate() {
             let call = post(target, &number.to_string()).with(names::DEADLINE, "600");
             let answer = house.call(&call).await?;
@@ -301,7 +302,7 @@
             let foreign = raw::answer("another", true);
             Some(foreign + &raw::answer(&asked.attempt, true))
         })?;
-        let house = House::open(executor, site).await?;
+        let house = Harness::start_ready(executor, site).await?;
         for target in ["/r/x", "/o/x"] {
             let answer = house.post(target, target).await?;
             ensure!(answer.status == 200, "{answer:?}");
@@ -318,7 +319,7 @@
         let _raw = Raw::start(&executor, &site, "i-raw", |asked| {
             Some(raw::answer(&asked.attempt, false))
         })?;
-        let house = House::open(executor, site).await?;
+        let house = Harness::start_ready(executor, site).await?;
         for target in ["/r/x", "/o/x", "/s/x", "/u/x"] {
             let answer = house.post(target, target).await?;
             ensure!(answer.status == 502, "{answer:?}");
@@ -331,14 +332,14 @@
 fn a_kept_connection_that_the_server_closed_costs_no_request() -> Result {
     run(async |executor| {
         let site = site()?;
-        let server = site.server(usual(1))?;
-        let house = House::open(executor, site).await?;
+        let server = site.server(server_settings(1))?;
+        let house = Harness::start_ready(executor, site).await?;
         server.close_idle(Some(ms(60)));
         for number in 0..6 {
             let target = ["/r/x", "/o/x"][number % 2];
             let attempt = format!("{number}");
             let answer = house.post(target, &attempt).await?;
-            whole(&answer, &[&server], &attempt)?;
+            ensure_served_by(&answer, &[&server], &attempt)?;
             ensure!(server.ran(&attempt) == 1, "{attempt} ran twice");
             Timer::after(ms(120)).await;
         }
@@ -356,7 +357,7 @@
     run(async |executor| {
         let site = site()?;
         let _raw = Raw::start(&executor, &site, "i-raw", closes_when_asked_again)?;
-        let house = House::open(executor, site).await?;
+        let house = Harness::start_ready(executor, site).await?;
         for number in 0..4 {
             let answer = house.post("/r/x", &number.to_string()).await?;
             ensure!(answer.status == 200, "{answer:?}");
@@ -370,7 +371,7 @@
     run(async |executor| {
         let site = site()?;
         let _raw = Raw::start(&executor, &site, "i-raw", closes_when_asked_again)?;
-        let house = House::open(executor, site).await?;
+        let house = Harness::start_ready(executor, site).await?;
         for number in 0..2 {
             let answer = house.post("/o/x", &number.to_string()).await?;
             ensure!(answer.status == 200, "{answer:?}");
--- a/crates/relay/tests/relay/beliefs.rs
+++ b/crates/relay/tests/relay/beliefs.rs
@@ -13,9 +13,9 @@
 use tidepier_relay_standin::site::{Route, Site};
 use tidepier_relay_standin::store::Down;
 
-use crate::house::{
-    ms, pair, post, promised, run, single, site, until, usual, whole, Executor, House, Result,
-    SERVICE,
+use crate::harness::{
+    ensure_not_executed, ensure_served_by, ms, post, run, server_settings, site,
+    start_with_one_server, start_with_two_servers, wait_until, Executor, Harness, Result, SERVICE,
 };
 
 /// Promised time for a change of the catalog.
@@ -33,8 +33,8 @@
 }
 
 /// Waits until a route is served, for no longer than the promise.
-async fn applied(house: &House, target: &str, since: Instant) -> Result {
-    until("applied", async || {
+async fn applied(house: &Harness, target: &str, since: Instant) -> Result {
+    wait_until("applied", async || {
         Ok(house.post(target, "probe").await?.status == 200)
     })
     .await?;
@@ -46,27 +46,27 @@
 fn it_is_unready_without_a_configuration() -> Result {
     run(async |executor| {
         let site = Site::start()?;
-        let server = site.server(usual(1))?;
-        let house = House::unready(executor, site, |_| {})?;
+        let server = site.server(server_settings(1))?;
+        let house = Harness::start_unready(executor, site, |_| {})?;
         for number in 0..5 {
             ensure!(!house.is_ready().await, "ready without a configuration");
             let attempt = format!("{number}");
-            promised(&house.post("/r/x", &attempt).await?)?;
+            ensure_not_executed(&house.post("/r/x", &attempt).await?)?;
             Timer::after(ms(60)).await;
         }
         ensure!(server.runs().is_empty(), "a refused request was sent");
         house
             .site
             .declare(&[Route::new("/r/", Kind::Repeatable, SERVICE)]);
-        until("ready", async || Ok(house.is_ready().await)).await?;
-        whole(&house.post("/r/x", "after").await?, &[&server], "after")
+        wait_until("ready", async || Ok(house.is_ready().await)).await?;
+        ensure_served_by(&house.post("/r/x", "after").await?, &[&server], "after")
     })
 }
 
 #[test]
 fn the_version_never_falls() -> Result {
     run(async |executor| {
-        let (server, house) = single(executor).await?;
+        let (server, house) = start_with_one_server(executor).await?;
         let older = config(&house.site)?;
         let version = house
             .site
@@ -80,7 +80,7 @@
             for number in 0..10 {
                 let attempt = format!("{number}");
                 let answer = house.post("/new/x", &attempt).await?;
-                whole(&answer, &[&server], &attempt)?;
+                ensure_served_by(&answer, &[&server], &attempt)?;
                 let shown = house.router.relay().view.version();
                 ensure!(shown.0 == version, "{shown} after {version}");
                 Timer::after(ms(30)).await;
@@ -97,13 +97,13 @@
 #[test]
 fn an_invalid_configuration_changes_nothing() -> Result {
     run(async |executor| {
-        let (server, house) = single(executor).await?;
+        let (server, house) = start_with_one_server(executor).await?;
         house
             .site
             .store
             .put(names::CONFIG, &json!({ "version": 900, "routes": 7 }));
         Timer::after(ms(300)).await;
-        whole(&house.post("/r/x", "after").await?, &[&server], "after")?;
+        ensure_served_by(&house.post("/r/x", "after").await?, &[&server], "after")?;
         let since = Instant::now();
         house
             .site
@@ -115,7 +115,7 @@
 #[test]
 fn a_change_is_in_force_in_time_though_watches_are_cut() -> Result {
     run(async |executor| {
-        let (_server, house) = single(executor).await?;
+        let (_server, house) = start_with_one_server(executor).await?;
         for number in 0..3 {
             house.site.store.cut_watches();
             let since = Instant::now();
@@ -126,7 +126,7 @@
             applied(&house, &format!("{prefix}x"), since).await?;
             let since = Instant::now();
             house.site.drop_route(&prefix);
-            until("dropped", async || {
+            wait_until("dropped", async || {
                 Ok(house.post(&format!("{prefix}x"), "gone").await?.status == 404)
             })
             .await?;
@@ -139,7 +139,7 @@
 #[test]
 fn a_change_is_in_force_in_time_though_watches_learn_nothing() -> Result {
     run(async |executor| {
-        let (_server, house) = single(executor).await?;
+        let (_server, house) = start_with_one_server(executor).await?;
         house.site.store.deaf(Duration::from_secs(20));
         let since = Instant::now();
         house
@@ -152,7 +152,7 @@
 #[test]
 fn a_change_is_in_force_though_answers_are_lost() -> Result {
     run(async |executor| {
-        let (server, house) = single(executor).await?;
+        let (server, house) = start_with_one_server(executor).await?;
         house.site.store.faults(|faults| faults.lost = u32::MAX);
         let since = Instant::now();
         house
@@ -164,27 +164,27 @@
             house.site.store.faults(|faults| left = faults.lost);
             Ok(left < u32::MAX)
         };
-        until("lost one", lost).await?;
+        wait_until("lost one", lost).await?;
         // Answers to writes go on being lost; the store is read instead.
-        until("fresh", async || {
+        wait_until("fresh", async || {
             Ok(house.router.relay().view.is_fresh(ms(1_900)))
         })
         .await?;
-        whole(&house.post("/r/x", "after").await?, &[&server], "after")
+        ensure_served_by(&house.post("/r/x", "after").await?, &[&server], "after")
     })
 }
 
 #[test]
 fn calls_refused_for_their_number_harm_no_request() -> Result {
     run(async |executor| {
-        let (server, house) = single(executor).await?;
+        let (server, house) = start_with_one_server(executor).await?;
         house.site.store.faults(|faults| faults.refuse = true);
         house.site.store.cut_watches();
         let before: u64 = house.site.store.all_calls().values().sum();
         let start = Instant::now();
         while start.elapsed() < ms(2_000) {
             let attempt = format!("{:?}", start.elapsed());
-            whole(&house.post("/r/x", &attempt).await?, &[&server], &attempt)?;
+            ensure_served_by(&house.post("/r/x", &attempt).await?, &[&server], &attempt)?;
             Timer::after(ms(30)).await;
         }
         let calls = house.site.store.all_calls().values().sum::<u64>() - before;
@@ -192,16 +192,16 @@
         house.site.store.faults(|faults| faults.refuse = false);
         // Its absence while the store was away counts, but once it is back a
         // change is in force again.
-        let far = house.site.server(usual(2))?;
+        let far = house.site.server(server_settings(2))?;
         house
             .site
             .declare(&[Route::new("/new/", Kind::Repeatable, SERVICE)]);
-        until("back", async || {
+        wait_until("back", async || {
             let known = house.router.relay().fleet.ids().len() == 2;
             Ok(known && house.post("/new/x", "probe").await?.status == 200)
         })
         .await?;
-        whole(
+        ensure_served_by(
             &house.post("/r/x", "after").await?,
             &[&server, &far],
             "after",
@@ -212,13 +212,13 @@
 #[test]
 fn a_server_that_leaves_in_a_forgotten_history_is_dropped() -> Result {
     run(async |executor| {
-        let (gone, stays, house) = pair(executor).await?;
+        let (gone, stays, house) = start_with_two_servers(executor).await?;
         house.site.store.deaf(ms(300));
         house.site.withdraw(&gone);
-        let comes = house.site.server(usual(3))?;
+        let comes = house.site.server(server_settings(3))?;
         house.site.store.compact();
         let since = Instant::now();
-        until("dropped", async || {
+        wait_until("dropped", async || {
             Ok(!house.knows(&gone) && house.knows(&comes))
         })
         .await?;
@@ -227,7 +227,7 @@
         for number in 0..10 {
             let attempt = format!("{number}");
             let answer = house.post("/r/x", &attempt).await?;
-            whole(&answer, &[&stays, &comes], &attempt)?;
+            ensure_served_by(&answer, &[&stays, &comes], &attempt)?;
         }
         ensure!(gone.runs().len() == before, "asked after it left");
         Ok(())
@@ -237,7 +237,7 @@
 #[test]
 fn the_catalog_of_a_forgotten_history_is_read_again() -> Result {
     run(async |executor| {
-        let (_server, house) = single(executor).await?;
+        let (_server, house) = start_with_one_server(executor).await?;
         house.site.store.deaf(ms(200));
         let since = Instant::now();
         house
@@ -250,15 +250,15 @@
 
 /// A router whose store goes down, is known to be down, and comes back while
 /// `lost` has lost its entry; returns when the store came back.
-async fn outage(executor: Executor, site: Site, lost: &[&Server]) -> Result<(House, Instant)> {
-    let house = House::open(executor, site).await?;
+async fn outage(executor: Executor, site: Site, lost: &[&Server]) -> Result<(Harness, Instant)> {
+    let house = Harness::start_ready(executor, site).await?;
     house
         .site
         .store
         .faults(|faults| faults.down = Some(Down::Reset));
     // Some questions have been asked in vain after this time.
     let asked = house.site.store.calls("kv-txn");
-    until("noticed", async || {
+    wait_until("noticed", async || {
         Ok(house.site.store.calls("kv-txn") >= asked + 2)
     })
     .await?;
@@ -274,22 +274,22 @@
 fn a_server_whose_entry_lapsed_with_the_store_is_kept_for_a_while() -> Result {
     run(async |executor| {
         let site = site()?;
-        let lost = site.server(usual(1))?;
+        let lost = site.server(server_settings(1))?;
         let (house, back) = outage(executor, site, &[&lost]).await?;
         let mut number = 0;
         while back.elapsed() < LAPSE_TIME - ms(200) {
             number += 1;
             let attempt = format!("{number}");
-            whole(&house.post("/r/x", &attempt).await?, &[&lost], &attempt)?;
+            ensure_served_by(&house.post("/r/x", &attempt).await?, &[&lost], &attempt)?;
             Timer::after(ms(50)).await;
         }
-        until("dropped", async || {
+        wait_until("dropped", async || {
             Ok(house.post("/r/x", "probe").await?.status == 503)
         })
         .await?;
         let most = LAPSE_TIME + PAUSE_MAX + ms(800);
         ensure!(back.elapsed() < most, "{:?}", back.elapsed());
-        promised(&house.post("/r/x", "after").await?)
+        ensure_not_executed(&house.post("/r/x", "after").await?)
     })
 }
 
@@ -297,7 +297,7 @@
 fn a_server_whose_entry_comes_back_after_the_store_is_kept() -> Result {
     run(async |executor| {
         let site = site()?;
-        let lost = site.server(usual(1))?;
+        let lost = site.server(server_settings(1))?;
         let (house, back) = outage(executor, site, &[&lost]).await?;
         let mut absent = true;
         while back.elapsed() < LAPSE_TIME + PAUSE_MAX + ms(500) {
@@ -306,7 +306,7 @@
                 absent = false;
             }
             let attempt = format!("{:?}", back.elapsed());
-            whole(&house.post("/r/x", &attempt).await?, &[&lost], &attempt)?;
+            ensure_served_by(&house.post("/r/x", &attempt).await?, &[&lost], &attempt)?;
             Timer::after(ms(100)).await;
         }
         Ok(())
@@ -317,10 +317,10 @@
 fn a_server_that_leaves_after_the_return_is_dropped_at_once() -> Result {
     run(async |executor| {
         let site = site()?;
-        let gone = site.server(usual(1))?;
-        let stays = site.server(usual(2))?;
+        let gone = site.server(server_settings(1))?;
+        let stays = site.server(server_settings(2))?;
         let (house, back) = outage(executor, site, &[]).await?;
-        until("believed", async || {
+        wait_until("believed", async || {
             Ok(house.router.relay().view.is_fresh(ms(1_000)))
         })
         .await?;
@@ -328,10 +328,10 @@
         Timer::at(back + PAUSE_MAX + ms(2_500)).await;
         house.site.withdraw(&gone);
         let left = Instant::now();
-        until("dropped", async || Ok(!house.knows(&gone))).await?;
+        wait_until("dropped", async || Ok(!house.knows(&gone))).await?;
         ensure!(left.elapsed() < ms(1_200), "{:?}", left.elapsed());
         let before = gone.runs().len();
-        whole(&house.post("/r/x", "after").await?, &[&stays], "after")?;
+        ensure_served_by(&house.post("/r/x", "after").await?, &[&stays], "after")?;
         ensure!(gone.runs().len() == before, "asked after it left");
         Ok(())
     })
@@ -341,22 +341,22 @@
 fn a_server_that_leaves_within_the_doubt_is_dropped_at_its_end() -> Result {
     run(async |executor| {
         let site = site()?;
-        let gone = site.server(usual(1))?;
-        let stays = site.server(usual(2))?;
+        let gone = site.server(server_settings(1))?;
+        let stays = site.server(server_settings(2))?;
         let (house, back) = outage(executor, site, &[]).await?;
         Timer::at(back + ms(1_500)).await;
         house.site.withdraw(&gone);
-        until("dropped", async || Ok(!house.knows(&gone))).await?;
+        wait_until("dropped", async || Ok(!house.knows(&gone))).await?;
         let most = LAPSE_TIME + PAUSE_MAX + ms(800);
         ensure!(back.elapsed() < most, "{:?}", back.elapsed());
-        whole(&house.post("/r/x", "after").await?, &[&stays], "after")
+        ensure_served_by(&house.post("/r/x", "after").await?, &[&stays], "after")
     })
 }
 
 #[test]
 fn requests_are_served_while_the_store_is_silent() -> Result {
     run(async |executor| {
-        let (server, house) = single(executor).await?;
+        let (server, house) = start_with_one_server(executor).await?;
         house
             .site
             .store
@@ -365,7 +365,7 @@
         while start.elapsed() < ms(2_500) {
             let attempt = format!("{:?}", start.elapsed());
             let answer = house.call(&post("/o/x", &attempt)).await?;
-            whole(&answer, &[&server], &attempt)?;
+            ensure_served_by(&answer, &[&server], &attempt)?;
             Timer::after(ms(50)).await;
         }
         Ok(())
@@ -376,24 +376,24 @@
 fn a_server_that_is_another_services_now_gets_nothing_of_the_first() -> Result {
     run(async |executor| {
         let site = site()?;
-        let before = site.server(usual(1))?;
-        let house = House::open(executor, site).await?;
-        whole(&house.post("/r/x", "before").await?, &[&before], "before")?;
+        let before = site.server(server_settings(1))?;
+        let house = Harness::start_ready(executor, site).await?;
+        ensure_served_by(&house.post("/r/x", "before").await?, &[&before], "before")?;
         let after = Server::start(Settings {
             service: "service-2".into(),
-            ..usual(1)
+            ..server_settings(1)
         })?;
         house.site.announce(&after, State::Ready);
         let start = Instant::now();
         let mut number = 0;
-        until("refused", async || {
+        wait_until("refused", async || {
             number += 1;
             let answer = house.post("/r/x", &format!("after-{number}")).await?;
             ensure!(start.elapsed() < APPLY_TIME, "still served by {answer:?}");
             Ok(answer.status == 503)
         })
         .await?;
-        promised(&house.post("/o/x", "last").await?)?;
+        ensure_not_executed(&house.post("/o/x", "last").await?)?;
         ensure!(after.runs().is_empty(), "{:?}", after.runs());
         let service = SERVICE.parse()?;
         let serving = house.router.relay().fleet.serving(&service);
@@ -403,10 +403,10 @@
 }
 
 /// Checks that a server whose entry goes is dropped in time, beside changes of another.
-async fn goes_in_time(house: &House, goes: &Server, changes: &Server) -> Result {
+async fn goes_in_time(house: &Harness, goes: &Server, changes: &Server) -> Result {
     house.site.withdraw(goes);
     let gone = Instant::now();
-    until("gone", async || {
+    wait_until("gone", async || {
         house.site.announce(changes, State::Ready);
         Timer::after(ms(100)).await;
         Ok(!house.knows(goes))
@@ -424,7 +424,7 @@
 #[test]
 fn a_store_whose_watches_answer_is_not_lost() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor).await?;
+        let (near, far, house) = start_with_two_servers(executor).await?;
         house.post("/r/x", "before").await?;
         house.site.store.faults(|faults| faults.mute = true);
         // A change every 0.2 s, as while servers come and go.
@@ -441,7 +441,7 @@
 #[test]
 fn a_watch_that_answers_is_the_stores_return() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor).await?;
+        let (near, far, house) = start_with_two_servers(executor).await?;
         house.post("/r/x", "before").await?;
         house.site.store.faults(|faults| faults.mute = true);
         Timer::after(ms(4_000)).await;
--- a/crates/relay/tests/relay/hall.rs
+++ b/crates/relay/tests/relay/box_harness.rs
@@ -14,8 +14,8 @@
 use smol::{LocalExecutor, Task, Timer};
 use tidepier_clock::Instant;
 use tidepier_core::catalog::Kind;
-use tidepier_relay::content::Content;
-use tidepier_relay::notice::Notice;
+use tidepier_relay::content::Fingerprint;
+use tidepier_relay::notifier::Notifier;
 use tidepier_relay::peer::registry::Member;
 use tidepier_relay::settings::Settings;
 use tidepier_relay::Router;
@@ -24,7 +24,7 @@
 use tidepier_relay_standin::site::{Route, Site};
 use tidepier_relay_standin::Client;
 
-use crate::house::{self, ms, post, until, Executor, Result, SERVICE};
+use crate::harness::{self, ms, post, wait_until, Executor, Result, SERVICE};
 use crate::process;
 
 /// The bound on keys in these tests: as short as lets a box notice a lost
@@ -70,7 +70,7 @@
 }
 
 /// A way to an address that a test can cut; it ends when dropped.
-pub(crate) struct Way {
+pub(crate) struct Proxy {
     address: SocketAddr,
     state: Rc<State>,
     _task: Task<()>,
@@ -83,11 +83,11 @@
     delay: Cell<Duration>,
     /// Bytes that were asked over it.
     asked: Cell<u64>,
-    changed: Notice,
+    changed: Notifier,
     pumps: RefCell<Vec<Task<()>>>,
 }
 
-impl Way {
+impl Proxy {
     pub(crate) async fn open(executor: &Executor, target: SocketAddr) -> Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let state = Rc::new(State {
@@ -95,7 +95,7 @@
             mode: Cell::new(Mode::Open),
             delay: Cell::default(),
             asked: Cell::default(),
-            changed: Notice::default(),
+            changed: Notifier::default(),
             pumps: RefCell::default(),
         });
         let address = listener.local_addr()?;
@@ -180,8 +180,8 @@
 }
 
 /// A site with a route for keys beside the usual ones, and two accounts.
-pub(crate) fn keyed() -> Result<Site> {
-    let site = house::site()?;
+pub(crate) fn site_with_keys() -> Result<Site> {
+    let site = harness::site()?;
     let keyed = Route {
         public: false,
         ..Route::new("/k/", Kind::Repeatable, SERVICE)
@@ -207,7 +207,7 @@
 
 /// The settings of a box that talks to others.
 pub(crate) fn settings(site: &Site, name: &str, hall: &str, link: u32, peer: SocketAddr) -> Value {
-    let mut told = house::settings(site);
+    let mut told = harness::settings(site);
     told["name"] = name.into();
     told["hall"] = hall.into();
     told["callers"] = SocketAddr::new(peer.ip(), 0).to_string().into();
@@ -226,26 +226,26 @@
 }
 
 /// A box that runs on an executor of its own.
-pub(crate) struct Machine {
+pub(crate) struct TestBox {
     pub(crate) name: String,
     settings: Value,
     pub(crate) router: Router,
     /// Its way to the store.
-    pub(crate) store: Way,
+    pub(crate) store: Proxy,
     /// Where other boxes ask it.
     pub(crate) peer: SocketAddr,
     frozen: Rc<Cell<bool>>,
-    changed: Notice,
+    changed: Notifier,
     _driver: Task<()>,
 }
 
-async fn reach(frozen: &Cell<bool>, changed: &Notice, wanted: bool) {
+async fn reach(frozen: &Cell<bool>, changed: &Notifier, wanted: bool) {
     while frozen.get() != wanted {
         changed.wait().await;
     }
 }
 
-impl Machine {
+impl TestBox {
     /// Starts a box of a hall; the strongest link reads the store.
     pub(crate) async fn start(
         executor: &Executor,
@@ -268,7 +268,7 @@
         seeds: &[IpAddr],
     ) -> Result<Self> {
         let peer = address();
-        let store = Way::open(executor, site.store.address()).await?;
+        let store = Proxy::open(executor, site.store.address()).await?;
         let mut told = settings(site, name, hall, link, peer);
         told["store"]["address"] = store.address().to_string().into();
         let seeds = seeds.iter().map(|ip| SocketAddr::new(*ip, SEED_PORT));
@@ -278,7 +278,7 @@
         let own = Rc::new(LocalExecutor::new());
         let router = Router::start(&settings, &own)?;
         let frozen = Rc::new(Cell::new(false));
-        let changed = Notice::default();
+        let changed = Notifier::default();
         let (freezes, notice) = (frozen.clone(), changed.clone());
         let driver = executor.spawn(async move {
             loop {
@@ -305,15 +305,15 @@
     }
 
     /// Lets a content pass, as a reload of its settings would.
-    pub(crate) fn pardon(&self, content: Content) -> Result {
+    pub(crate) fn pardon(&self, content: Fingerprint) -> Result {
         let mut told = self.settings.clone();
         told["pardoned"] = vec![content.to_string()].into();
-        self.router.take_over(&serde_json::from_value(told)?);
+        self.router.apply_settings(&serde_json::from_value(told)?);
         Ok(())
     }
 
     pub(crate) async fn call(&self, call: &Call) -> Result<Answer> {
-        Ok(Client::once(self.router.callers(), call).await?)
+        Ok(Client::once(self.router.client_address(), call).await?)
     }
 
     /// When the catalog in force there was provably the newest.
@@ -328,11 +328,11 @@
 
     /// Whether it knows a server, be it one that leaves.
     pub(crate) fn knows(&self, server: &Server) -> bool {
-        house::knows(&self.router, server)
+        harness::knows(&self.router, server)
     }
 
     /// Whether it sends requests to a server.
-    pub(crate) fn serves_by(&self, server: &Server) -> Result<bool> {
+    pub(crate) fn sends_to(&self, server: &Server) -> Result<bool> {
         let serving = self.router.relay().fleet.serving(&SERVICE.parse()?);
         let mut ids = serving.iter().map(|backend| backend.server.id.as_str());
         Ok(ids.any(|id| id == server.settings().id))
@@ -341,29 +341,33 @@
 
 /// Boxes of `hall-1` that started together and are ready, the first one of
 /// which reads the store for all.
-pub(crate) async fn started(executor: &Executor, site: &Site, count: u32) -> Result<Vec<Machine>> {
-    let machines = begun(executor, site, count).await?;
+pub(crate) async fn started(executor: &Executor, site: &Site, count: u32) -> Result<Vec<TestBox>> {
+    let machines = start_boxes(executor, site, count).await?;
     settled(&machines, &[0]).await?;
     Ok(machines)
 }
 
 /// Boxes of `hall-1` that started together and are ready.
-pub(crate) async fn begun(executor: &Executor, site: &Site, count: u32) -> Result<Vec<Machine>> {
+pub(crate) async fn start_boxes(
+    executor: &Executor,
+    site: &Site,
+    count: u32,
+) -> Result<Vec<TestBox>> {
     let mut machines = Vec::new();
     for number in 0..count {
         let (name, link) = (format!("box-{number}"), 5_000 - 1_000 * number);
-        machines.push(Machine::start(executor, site, &name, "hall-1", link).await?);
+        machines.push(TestBox::start(executor, site, &name, "hall-1", link).await?);
     }
     ready(&machines).await?;
     Ok(machines)
 }
 
-pub(crate) async fn ready(machines: &[Machine]) -> Result {
-    until("ready", async || Ok(machines.iter().all(Machine::is_ready))).await
+pub(crate) async fn ready(machines: &[TestBox]) -> Result {
+    wait_until("ready", async || Ok(machines.iter().all(TestBox::is_ready))).await
 }
 
 /// The boxes that ask the store for anything within a time.
-pub(crate) async fn readers(machines: &[Machine], time: Duration) -> Vec<usize> {
+pub(crate) async fn readers(machines: &[TestBox], time: Duration) -> Vec<usize> {
     let before: Vec<u64> = machines
         .iter()
         .map(|machine| machine.store.asked())
@@ -376,7 +380,7 @@
 
 /// Waits until only these of the boxes ask the store; a box that asked another
 /// before that one could vouch passes it over for 3 s.
-pub(crate) async fn settled(machines: &[Machine], expected: &[usize]) -> Result {
+pub(crate) async fn settled(machines: &[TestBox], expected: &[usize]) -> Result {
     let start = Instant::now();
     loop {
         let found = readers(machines, PROOF_TIME).await;
@@ -389,7 +393,7 @@
 
 /// Checks for a while that boxes serve requests with a key.
 pub(crate) async fn served<'a>(
-    machines: impl IntoIterator<Item = &'a Machine> + Clone,
+    machines: impl IntoIterator<Item = &'a TestBox> + Clone,
     servers: &[&Server],
     time: Duration,
 ) -> Result {
@@ -398,7 +402,7 @@
         for machine in machines.clone() {
             let attempt = format!("{}-{:?}", machine.name, start.elapsed());
             let answer = machine.call(&with_key("stays", &attempt)).await?;
-            house::whole(&answer, servers, &attempt)?;
+            harness::ensure_served_by(&answer, servers, &attempt)?;
         }
         Timer::after(ms(30)).await;
     }
--- a/crates/relay/tests/relay/desk.rs
+++ b/crates/relay/tests/relay/choice_harness.rs
@@ -11,12 +11,12 @@
 use tidepier_core::server::{Server, State};
 use tidepier_ids as ids;
 use tidepier_relay::choose::filter::Filter;
-use tidepier_relay::choose::{self, Ask, Choice};
-use tidepier_relay::fleet::{Backend, Fleet, Key, Running};
-use tidepier_relay::places::Places;
+use tidepier_relay::choose::{self, Choice, Criteria};
+use tidepier_relay::fleet::{Backend, Fleet, InFlight, Key};
+use tidepier_relay::locations::Locations;
 use tidepier_relay::traffic::index::Index;
 
-use crate::house::{Result, SERVICE};
+use crate::harness::{Result, SERVICE};
 
 /// Tokens of a subject that is kept once for all halls.
 pub(crate) const LARGE: u32 = 3_000;
@@ -51,7 +51,7 @@
 }
 
 /// One box with what it knows.
-pub(crate) struct Desk {
+pub(crate) struct ChoiceHarness {
     pub(crate) fleet: Fleet,
     pub(crate) index: Index,
     pub(crate) hall: ids::Hall,
@@ -60,7 +60,7 @@
     pub(crate) start: Instant,
 }
 
-impl Desk {
+impl ChoiceHarness {
     /// A box in a hall that heard of these servers in this order, and of next to
     /// none of the placements of others.
     pub(crate) fn new(hall: &str, numbers: impl IntoIterator<Item = u16>) -> Result<Self> {
@@ -71,7 +71,7 @@
             service: id(SERVICE)?,
             start: Instant::now(),
         };
-        desk.index.coverage.heard(1, 999);
+        desk.index.coverage.record_message(1, 999);
         for number in numbers {
             desk.fleet
                 .announce(server(number, State::Ready)?, desk.start);
@@ -86,15 +86,19 @@
         Ok(())
     }
 
-    pub(crate) fn places<'a>(&self, prompt: &'a Prompt) -> Places<'a> {
+    pub(crate) fn places<'a>(&self, prompt: &'a Prompt) -> Locations<'a> {
         self.places_after(prompt, &[])
     }
 
     /// The same after the prompt was sent to some servers in vain.
-    pub(crate) fn places_after<'a>(&self, prompt: &'a Prompt, tried: &[ids::Server]) -> Places<'a> {
+    pub(crate) fn places_after<'a>(
+        &self,
+        prompt: &'a Prompt,
+        tried: &[ids::Server],
+    ) -> Locations<'a> {
         let now = Instant::now();
         let candidate = |backend: &Backend| !tried.contains(&backend.server.id);
-        Places::new(
+        Locations::new(
             &self.fleet,
             &self.service,
             prompt,
@@ -107,7 +111,7 @@
     /// The address from which a server is to copy a prompt.
     pub(crate) fn source(&self, prompt: &Prompt, server: &ids::Server) -> Option<SocketAddr> {
         let places = self.places(prompt);
-        let source = places.source(Key::new(server));
+        let source = places.copy_source(Key::new(server));
         source.map(|source| source.server.address)
     }
 
@@ -153,13 +157,13 @@
         tried: &[ids::Server],
         filter: Filter<'_>,
     ) -> Result<Choice> {
-        let ask = Ask {
+        let ask = Criteria {
             prompt,
             copy_ms: Some(0.004),
             tried,
             filter,
             hall: &self.hall,
-            breaks: false,
+            not_resumable: false,
             connections: CONNECTIONS,
             crowd_factor: 2.0,
         };
@@ -176,12 +180,12 @@
     /// Chooses a server and remembers that it got the prompt.
     pub(crate) fn send(&self, prompt: &Prompt) -> Result<Rc<Backend>> {
         let chosen = self.choose(Some(prompt), &[])?.backend;
-        self.index.sent(prompt, chosen.key, Instant::now());
+        self.index.record_local(prompt, chosen.key, Instant::now());
         Ok(chosen)
     }
 
     /// Lets a server have so many requests of this box.
-    pub(crate) fn load(&self, id: &ids::Server, count: usize) -> Result<Vec<Running>> {
+    pub(crate) fn load(&self, id: &ids::Server, count: usize) -> Result<Vec<InFlight>> {
         let backend = self.backend(id)?;
         Ok((0..count).map(|_| backend.run(0)).collect())
     }
--- a/crates/relay/tests/relay/choose.rs
+++ b/crates/relay/tests/relay/choose.rs
@@ -10,13 +10,13 @@
 use tidepier_core::catalog::Cold;
 use tidepier_core::server::State;
 use tidepier_ids as ids;
-use tidepier_relay::choose::filter::{Filter, Gate};
-use tidepier_relay::choose::{self, Ask};
+use tidepier_relay::choose::filter::{Admission, Filter};
+use tidepier_relay::choose::{self, Criteria};
 use tidepier_relay::cold::{Limit, Roster};
 use tidepier_relay::health::Outcome;
 
-use crate::desk::{id, prompt, server, Desk, LARGE, SMALL};
-use crate::house::{ms, run, Result};
+use crate::choice_harness::{id, prompt, server, ChoiceHarness, LARGE, SMALL};
+use crate::harness::{ms, run, Result};
 
 /// Servers that may read one subject while nobody has much to do.
 const KEEPERS_MAX: usize = 2;
@@ -24,7 +24,9 @@
 #[test]
 fn few_servers_read_one_subject_without_load() -> Result {
     for tokens in [LARGE, SMALL] {
-        let boxes: Result<Vec<Desk>> = (0..6).map(|_| Desk::new("hall-1", 0..12)).collect();
+        let boxes: Result<Vec<ChoiceHarness>> = (0..6)
+            .map(|_| ChoiceHarness::new("hall-1", 0..12))
+            .collect();
         let boxes = boxes?;
         let mut readers: HashMap<u64, HashSet<ids::Server>> = HashMap::new();
         for _ in 0..5 {
@@ -43,7 +45,7 @@
 
 #[test]
 fn a_crowded_server_is_passed_over() -> Result {
-    let desk = Desk::new("hall-1", 0..4)?;
+    let desk = ChoiceHarness::new("hall-1", 0..4)?;
     let prompt = prompt(3, SMALL);
     let first = desk.first(&prompt)?;
     let calm = desk.choose(Some(&prompt), &[])?;
@@ -87,16 +89,17 @@
 
 #[test]
 fn a_server_that_is_crowded_by_other_boxes_is_passed_over() -> Result {
-    let desk = Desk::new("hall-1", 0..4)?;
+    let desk = ChoiceHarness::new("hall-1", 0..4)?;
     let prompt = prompt(3, SMALL);
     let first = desk.first(&prompt)?;
     let server = desk.backend(&first)?.key;
     desk.fleet
-        .set_others(&HashMap::from([(server, 6)]), 2, Instant::now());
+        .set_peer_in_flight(&HashMap::from([(server, 6)]), 2, Instant::now());
     let choice = desk.choose(Some(&prompt), &[])?;
     ensure!(choice.backend.server.id != first, "chosen over the count");
     // What the others have under way is over.
-    desk.fleet.set_others(&HashMap::new(), 2, Instant::now());
+    desk.fleet
+        .set_peer_in_flight(&HashMap::new(), 2, Instant::now());
     let choice = desk.choose(Some(&prompt), &[])?;
     ensure!(choice.backend.server.id == first, "an old count moved it");
     Ok(())
@@ -104,13 +107,13 @@
 
 #[test]
 fn what_came_here_since_the_others_told_has_come_to_them_too() -> Result {
-    let desk = Desk::new("hall-1", 0..4)?;
+    let desk = ChoiceHarness::new("hall-1", 0..4)?;
     let first = desk.first(&prompt(3, SMALL))?;
     let backend = desk.backend(&first)?;
-    let counted = || backend.counted(ms(1_500), Instant::now());
+    let counted = || backend.total_in_flight(ms(1_500), Instant::now());
     let _before = desk.load(&first, 2)?;
     let told = HashMap::from([(backend.key, 3)]);
-    desk.fleet.set_others(&told, 4, Instant::now());
+    desk.fleet.set_peer_in_flight(&told, 4, Instant::now());
     ensure!(counted() == Some(5), "{:?}", counted());
     // One may be chance.
     let _one = desk.load(&first, 1)?;
@@ -125,7 +128,7 @@
 
 #[test]
 fn a_server_that_told_no_load_counts_as_the_mean() -> Result {
-    let desk = Desk::new("hall-1", 0..4)?;
+    let desk = ChoiceHarness::new("hall-1", 0..4)?;
     let prompt = prompt(3, SMALL);
     let first = desk.first(&prompt)?;
     for id in desk.fleet.ids().iter().filter(|id| **id != first) {
@@ -151,7 +154,7 @@
 
 #[test]
 fn the_load_stays_bounded_under_one_hot_subject() -> Result {
-    let desk = Desk::new("hall-1", (0..16).filter(|number| number % 2 == 0))?;
+    let desk = ChoiceHarness::new("hall-1", (0..16).filter(|number| number % 2 == 0))?;
     let mut running = Vec::new();
     for _ in 0..80 {
         let backend = desk.send(&prompt(1, SMALL))?;
@@ -160,7 +163,7 @@
             .fleet
             .serving(&desk.service)
             .iter()
-            .map(|b| b.own())
+            .map(|b| b.in_flight())
             .collect();
         let mean = f64::from(loads.iter().sum::<u32>()) / loads.len() as f64;
         let most = f64::from(loads.iter().max().copied().unwrap_or(0));
@@ -172,14 +175,14 @@
 
 #[test]
 fn a_server_fails_by_comparison_with_the_others() -> Result {
-    let desk = Desk::new("hall-1", 0..4)?;
+    let desk = ChoiceHarness::new("hall-1", 0..4)?;
     let prompt = prompt(3, SMALL);
     let first = desk.first(&prompt)?;
     let fail = |id: &ids::Server| -> Result {
         let health = &desk.backend(id)?.health;
         // Never three in a row, which would leave it out.
         for _ in 0..12 {
-            for outcome in [Outcome::Bad, Outcome::Bad, Outcome::Good] {
+            for outcome in [Outcome::Errored, Outcome::Errored, Outcome::Succeeded] {
                 health.record(outcome, Instant::now());
             }
         }
@@ -213,14 +216,14 @@
 
 #[test]
 fn a_server_that_is_left_out_is_taken_only_without_others() -> Result {
-    let desk = Desk::new("hall-1", 0..4)?;
+    let desk = ChoiceHarness::new("hall-1", 0..4)?;
     let prompt = prompt(3, SMALL);
     let first = desk.first(&prompt)?;
     let leave_out = |id: &ids::Server| -> Result {
         for _ in 0..3 {
             desk.backend(id)?
                 .health
-                .record(Outcome::Bad, Instant::now());
+                .record(Outcome::Errored, Instant::now());
         }
         Ok(())
     };
@@ -271,15 +274,15 @@
 
 #[test]
 fn no_server_gets_more_connections_than_allowed() -> Result {
-    let desk = Desk::new("hall-1", 0..2)?;
+    let desk = ChoiceHarness::new("hall-1", 0..2)?;
     let prompt = prompt(3, SMALL);
-    let ask = |connections| Ask {
+    let ask = |connections| Criteria {
         prompt: Some(&prompt),
         copy_ms: None,
         tried: &[],
         filter: Filter::default(),
         hall: &desk.hall,
-        breaks: false,
+        not_resumable: false,
         connections,
         crowd_factor: 2.0,
     };
@@ -301,7 +304,7 @@
 #[test]
 fn the_own_hall_goes_first_where_nothing_is_kept() -> Result {
     run(async |_| {
-        let desk = Desk::new("hall-2", 0..8)?;
+        let desk = ChoiceHarness::new("hall-2", 0..8)?;
         for _ in 0..20 {
             let chosen = desk.choose(None, &[])?.backend;
             ensure!(chosen.server.hall == desk.hall, "{}", chosen.server.id);
@@ -317,7 +320,7 @@
 #[test]
 fn servers_that_get_little_count_in_the_mean() -> Result {
     for emptied in [true, false] {
-        let desk = Desk::new("hall-1", 0..8)?;
+        let desk = ChoiceHarness::new("hall-1", 0..8)?;
         let far: ids::Hall = id("hall-2")?;
         let now = Instant::now();
         if emptied {
@@ -361,10 +364,10 @@
             }
         }
         let roster = Roster::default();
-        let gate = Gate {
+        let gate = Admission {
             limit: Limit::new(cold, 1.0, 0.0),
             roster: &roster,
-            patience: Duration::ZERO,
+            max_wait: Duration::ZERO,
         };
         let filter = Filter {
             gate: Some(gate),
--- a/crates/relay/tests/relay/cold.rs
+++ b/crates/relay/tests/relay/cold.rs
@@ -12,10 +12,10 @@
 use tidepier_clock::Instant;
 use tidepier_core::catalog::Cold;
 use tidepier_ids as ids;
-use tidepier_relay::cold::{Limit, Pace, Roster};
+use tidepier_relay::cold::{Limit, Roster, Window};
 
-use crate::desk::id;
-use crate::house::Result;
+use crate::choice_harness::id;
+use crate::harness::Result;
 use crate::sim::{Plan, Sim};
 
 /// Requests a second that one cold server may get from all boxes.
@@ -118,7 +118,7 @@
     for desk in sim.desks.iter().step_by(2) {
         let known = sim.desks.iter().map(|other| (&other.name, &other.hall));
         let all = known.chain(new.iter().map(|(name, hall)| (name, hall)));
-        desk.roster.list(&desk.name, all, sim.start);
+        desk.roster.set_members(&desk.name, all, sim.start);
     }
     sim.chill(|_| true, ALWAYS)?;
     let busiest = sim.play().busiest(|_| true);
@@ -135,8 +135,8 @@
         .map(|number| id(&format!("box-{number}")))
         .collect::<Result<_>>()?;
     let roster = Roster::default();
-    roster.list(&me, others.iter().map(|name| (name, &hall)), start);
-    roster.known(start);
+    roster.set_members(&me, others.iter().map(|name| (name, &hall)), start);
+    roster.set_listed(start);
     let limit = limit();
     let shares = |now| -> Result<usize> {
         let mut count = 0;
@@ -149,10 +149,10 @@
     let before = shares(start)?;
     ensure!((5..50).contains(&before), "a sender of {before} in 100");
     let later = start + Duration::from_secs(15);
-    roster.list(&me, [(&me, &hall)], later);
+    roster.set_members(&me, [(&me, &hall)], later);
     ensure!(shares(later)? == before, "a sender of more at once");
     let gone = start + Duration::from_secs(60);
-    roster.list(&me, [(&me, &hall)], gone);
+    roster.set_members(&me, [(&me, &hall)], gone);
     ensure!(shares(gone)? == 100, "the only box left is no sender");
     Ok(())
 }
@@ -165,8 +165,8 @@
     let server = id("i-1")?;
     let share = |now| roster.share(&server, &hall, limit(), now);
     ensure!(share(start).is_none(), "before it knows any box");
-    roster.list(&me, [(&me, &hall)], start);
-    roster.unknown(start);
+    roster.set_members(&me, [(&me, &hall)], start);
+    roster.set_unlisted(start);
     ensure!(share(start + Duration::from_secs(10)).is_none(), "too soon");
     ensure!(share(start + Duration::from_secs(20)).is_some(), "never");
     Ok(())
@@ -210,7 +210,7 @@
         };
         let share = limit.share(1);
         prop_assert_eq!(share.requests, requests);
-        let (pace, start) = (Pace::default(), Instant::now());
+        let (pace, start) = (Window::default(), Instant::now());
         let mut asked = asked;
         asked.sort_unstable();
         let mut sent: Vec<u64> = Vec::new();
--- a/crates/relay/tests/relay/crashes.rs
+++ b/crates/relay/tests/relay/crashes.rs
@@ -7,13 +7,13 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 use tidepier_clock::Instant;
-use tidepier_relay::content::{Content, Parts};
+use tidepier_relay::content::{Fingerprint, Parts};
 use tidepier_relay::crash::table::{
-    Row, Table, Told, CONTENTS_MAX, ENDS_MAX, REFUSED_MAX, REFUSED_MIN, REMEMBERED,
+    Row, Scope, Table, CONTENTS_MAX, ENDS_MAX, REFUSED_MAX, REFUSED_MIN, RETENTION,
 };
 use tidepier_relay::fleet::Key;
 
-use crate::house::{ms, Result};
+use crate::harness::{ms, Result};
 
 /// Longer than any end is remembered.
 const DAY: Duration = Duration::from_secs(86_400);
@@ -22,8 +22,8 @@
 /// Time between two answers of a hub to a box, in seconds.
 const ASK_S: f64 = 0.4;
 
-fn content(number: u64) -> Content {
-    Content::new(&Parts {
+fn content(number: u64) -> Fingerprint {
+    Fingerprint::new(&Parts {
         method: "POST",
         host: "host",
         target: "/",
@@ -56,8 +56,8 @@
         caller: "account",
         body: b"body",
     };
-    let known = Content::new(&parts);
-    ensure!(Content::new(&parts) == known, "differs from itself");
+    let known = Fingerprint::new(&parts);
+    ensure!(Fingerprint::new(&parts) == known, "differs from itself");
     let others = [
         Parts {
             method: "PUT",
@@ -86,7 +86,7 @@
         },
     ];
     ensure!(
-        others.iter().all(|other| Content::new(other) != known),
+        others.iter().all(|other| Fingerprint::new(other) != known),
         "not told apart"
     );
     ensure!(known.to_string().parse() == Ok(known), "{known}");
@@ -131,7 +131,7 @@
     let mut now = Instant::now() + DAY;
     for number in 0..6 {
         table.ended(content(1), server(number)?, now);
-        now = now + REMEMBERED + ms(1);
+        now = now + RETENTION + ms(1);
         table.forget(now);
         ensure!(table.is_empty(), "still known");
     }
@@ -170,14 +170,14 @@
         "no change"
     );
     ensure!(here.refused(content(1), now).is_none(), "still refused");
-    let (rows, _) = here.since(0, 10, Told::Repeated, now + ms(20));
+    let (rows, _) = here.since(0, 10, Scope::Repeated, now + ms(20));
     there.take(&rows, now + ms(400));
     ensure!(
         there.refused(content(1), now + ms(400)).is_none(),
         "still refused elsewhere"
     );
     // The old ends, told late, change nothing.
-    let (old, _) = ended(3, now)?.since(0, 10, Told::All, now);
+    let (old, _) = ended(3, now)?.since(0, 10, Scope::All, now);
     here.take(&old, now + ms(5));
     ensure!(
         here.refused(content(1), now).is_none(),
@@ -223,13 +223,13 @@
             boxes[(*place % 3) as usize].ended(content(*what), key, at);
             if *over {
                 let (from, to) = ((*place + order) % 3, (*place + 1) % 3);
-                let (rows, _) = boxes[from as usize].since(0, 100, Told::All, end);
+                let (rows, _) = boxes[from as usize].since(0, 100, Scope::All, end);
                 boxes[to as usize].take(&rows, end);
             }
         }
         // Twice around, so that each hears of all.
         for at in 0..6 {
-            let (rows, _) = boxes[at % 3].since(0, 100, Told::All, end);
+            let (rows, _) = boxes[at % 3].since(0, 100, Scope::All, end);
             boxes[(at + 1) % 3].take(&rows, end);
         }
         for what in 0..4 {
@@ -253,7 +253,7 @@
     }
     let (mut place, mut told) = (0, Vec::new());
     for _ in 0..4 {
-        let (rows, next) = table.since(place, 32, Told::Repeated, now);
+        let (rows, next) = table.since(place, 32, Scope::Repeated, now);
         ensure!(rows.len() <= 32, "{} rows", rows.len());
         let mut bytes = Vec::new();
         ciborium::into_writer(&rows, &mut bytes)?;
@@ -266,23 +266,23 @@
     told.dedup();
     ensure!(told.len() == 100, "{} told", told.len());
     ensure!(
-        table.since(place, 32, Told::Repeated, now).0.is_empty(),
+        table.since(place, 32, Scope::Repeated, now).0.is_empty(),
         "told again"
     );
     // Another end of one of them is news.
     table.ended(content(7), server(3)?, now);
-    let (rows, _) = table.since(place, 32, Told::Repeated, now);
+    let (rows, _) = table.since(place, 32, Scope::Repeated, now);
     ensure!(rows.len() == 1 && rows[0].ends.len() == 3, "{rows:?}");
     // A single end concerns hubs alone.
     table.ended(content(1_000), server(3)?, now);
-    let (_, place) = table.since(place, 32, Told::Repeated, now);
+    let (_, place) = table.since(place, 32, Scope::Repeated, now);
     table.ended(content(1_001), server(3)?, now);
     ensure!(
-        table.since(place, 32, Told::Repeated, now).0.is_empty(),
+        table.since(place, 32, Scope::Repeated, now).0.is_empty(),
         "told to a box"
     );
     ensure!(
-        table.since(place, 32, Told::All, now).0.len() == 1,
+        table.since(place, 32, Scope::All, now).0.len() == 1,
         "not told to a hub"
     );
     Ok(())
@@ -302,13 +302,13 @@
         table.refused(content(1), now).is_some(),
         "forgotten for others"
     );
-    let (rows, _) = table.since(0, usize::MAX, Told::All, now);
+    let (rows, _) = table.since(0, usize::MAX, Scope::All, now);
     ensure!(rows.len() == table.len(), "{} rows", rows.len());
     // One content with many ends.
     for number in 0..1_000 {
         table.ended(content(1), server(number)?, now + ms(number));
     }
-    let (rows, _) = table.since(0, usize::MAX, Told::All, now);
+    let (rows, _) = table.since(0, usize::MAX, Scope::All, now);
     let row = rows.iter().find(|row| row.content == content(1));
     let row = row.ok_or_else(|| eyre!("not told"))?;
     ensure!(row.ends.len() <= ENDS_MAX, "{} ends", row.ends.len());
--- a/crates/relay/tests/relay/crashing.rs
+++ b/crates/relay/tests/relay/crashing.rs
@@ -14,16 +14,16 @@
 use smol::Timer;
 use tidepier_clock::Instant;
 use tidepier_core::server::State;
-use tidepier_relay::content::{Content, Parts};
+use tidepier_relay::content::{Fingerprint, Parts};
 use tidepier_relay::crash::table::REFUSED_MIN;
 use tidepier_relay_standin::client::Answer;
 use tidepier_relay_standin::names;
 use tidepier_relay_standin::server::{self, Server};
 use tidepier_relay_standin::site::HOST;
 
+use crate::box_harness::{self, site_with_keys, TestBox};
 use crate::ending::{asking, beside, fleet, insist, Servers, CONTACT, ENDS};
-use crate::hall::{self, keyed, Machine};
-use crate::house::{self, ms, promised, run, until, Result};
+use crate::harness::{self, ensure_not_executed, ms, run, wait_until, Result};
 
 /// Sendings after that which all boxes together are allowed.
 const BORNE: usize = 3;
@@ -114,7 +114,7 @@
                 let start = Instant::now();
                 let attempt = format!("refused-{}", machine.name);
                 let answer = machine.call(&asking("/o/x", &attempt, GUILTY)).await?;
-                promised(&answer)?;
+                ensure_not_executed(&answer)?;
                 ensure!(start.elapsed() < ms(250), "after {:?}", start.elapsed());
                 let wait = answer.field(names::RETRY_AFTER).unwrap_or("0");
                 let left = Duration::from_secs_f64(wait.parse()?);
@@ -142,8 +142,8 @@
             machines[1].freeze(true);
             insist(&machines[..1], "/o/x", GUILTY, ms(2_500)).await?;
             machines[1].freeze(false);
-            let late = Machine::start(&executor, &site, "box-9", "hall-2", 3_000).await?;
-            hall::ready(std::slice::from_ref(&late)).await?;
+            let late = TestBox::start(&executor, &site, "box-9", "hall-2", 3_000).await?;
+            box_harness::ready(std::slice::from_ref(&late)).await?;
             Timer::after(CONTACT).await;
             let before = servers.sendings(GUILTY).len();
             for machine in machines.iter().chain([&late]) {
@@ -270,19 +270,19 @@
 #[test]
 fn a_cut_is_no_end() -> Result {
     run(async |executor| {
-        let site = keyed()?;
+        let site = site_with_keys()?;
         let server = Server::start(server::Settings {
             work: ms(150),
-            ..house::usual(1)
+            ..harness::server_settings(1)
         })?;
-        let way = hall::Way::open(&executor, server.address()).await?;
+        let way = box_harness::Proxy::open(&executor, server.address()).await?;
         site.announce_at(&server, way.address(), State::Ready);
-        let house = house::House::open(executor, site).await?;
+        let house = harness::Harness::start_ready(executor, site).await?;
         for number in 0..5 {
             let attempt = format!("cut-{number}");
             let call = asking("/o/x", &attempt, b"harmless");
             let cut = async {
-                until("running", async || Ok(server.running() == 1)).await?;
+                wait_until("running", async || Ok(server.running() == 1)).await?;
                 way.cut();
                 Timer::after(ms(600)).await;
                 way.mend();
@@ -292,7 +292,7 @@
             ensure!(answer.status == 502, "{answer:?}");
             // The box leaves the server out for a while after failures in a row.
             let mut number = 0;
-            until("served again", async || {
+            wait_until("served again", async || {
                 number += 1;
                 let call = asking("/o/y", &format!("{attempt}-{number}"), b"another");
                 Ok(house.call(&call).await?.status == 200)
@@ -315,7 +315,7 @@
             Timer::after(ms(1_500)).await;
             // It is mended meanwhile.
             servers.mend();
-            let content = Content::new(&Parts {
+            let content = Fingerprint::new(&Parts {
                 method: "POST",
                 host: HOST,
                 target: "/o/x",
--- a/crates/relay/tests/relay/crowd.rs
+++ b/crates/relay/tests/relay/crowd.rs
@@ -6,20 +6,20 @@
 use tidepier_clock::Instant;
 use tidepier_relay::fleet::{Count, Key};
 use tidepier_relay::traffic::log::Peer;
-use tidepier_relay::traffic::tally::{Sum, Tally, Told};
+use tidepier_relay::traffic::tally::{Baseline, Tally, Totals};
 
-use crate::desk::id;
-use crate::house::Result;
+use crate::choice_harness::id;
+use crate::harness::Result;
 
 fn key(number: u32) -> Result<Key> {
     Ok(Key::new(&id(&format!("i-{number}"))?))
 }
 
 /// The requests of so many boxes: server and count by turns.
-fn sum(boxes: u32, counts: &[(u32, u32)]) -> Result<Sum> {
+fn sum(boxes: u32, counts: &[(u32, u32)]) -> Result<Totals> {
     let counts = counts.iter().map(|(server, n)| Ok((key(*server)?, *n)));
     let requests = counts.collect::<Result<_>>()?;
-    Ok(Sum { boxes, requests })
+    Ok(Totals { boxes, requests })
 }
 
 #[test]
@@ -53,11 +53,14 @@
     ensure!(told == sum(1, &[(2, 3)])?, "{told:?}");
     let later = now + Duration::from_secs(2);
     let told = tally.others(None, later);
-    ensure!(told == Sum::default(), "an old report counts: {told:?}");
+    ensure!(told == Totals::default(), "an old report counts: {told:?}");
     tally.report(member.clone(), sum(1, &[(2, 3)])?, later);
     tally.leave(&member);
     let told = tally.others(None, later);
-    ensure!(told == Sum::default(), "a box that left counts: {told:?}");
+    ensure!(
+        told == Totals::default(),
+        "a box that left counts: {told:?}"
+    );
     Ok(())
 }
 
@@ -65,8 +68,8 @@
 /// are of no consequence.
 #[test]
 fn only_changes_are_told() -> Result {
-    let (mut told, mut heard) = (Told::default(), Sum::default());
-    let mut tell = |now: &Sum| -> Vec<Count> {
+    let (mut told, mut heard) = (Baseline::default(), Totals::default());
+    let mut tell = |now: &Totals| -> Vec<Count> {
         let changes = told.changes(now, usize::MAX);
         heard.apply(now.boxes, &changes);
         for (server, requests) in &now.requests {
@@ -94,8 +97,8 @@
 #[test]
 fn the_most_crowded_are_told_first() -> Result {
     const MOST: usize = 8;
-    let (mut told, mut heard) = (Told::default(), Sum::default());
-    let mut tell = |now: &Sum| {
+    let (mut told, mut heard) = (Baseline::default(), Totals::default());
+    let mut tell = |now: &Totals| {
         let changes = told.changes(now, MOST);
         heard.apply(now.boxes, &changes);
         (changes.len(), heard.clone())
@@ -128,7 +131,7 @@
 fn a_server_that_fills_up_is_told_though_more_busy_ones_change() -> Result {
     const MOST: usize = 48;
     const SERVERS: u32 = 60;
-    let (mut told, mut heard) = (Told::default(), Sum::default());
+    let (mut told, mut heard) = (Baseline::default(), Totals::default());
     for round in 0..8 {
         let busy = |server| 20 + 4 * ((server + round) % 2);
         let filling = |server: u32| (server < 6).then_some(2 * round);
--- a/crates/relay/tests/relay/emptied.rs
+++ b/crates/relay/tests/relay/emptied.rs
@@ -9,15 +9,16 @@
 use proptest::prelude::*;
 use smol::Timer;
 use tidepier_core::era::Revision;
-use tidepier_relay::emptied::{Emptied, List, Row};
+use tidepier_relay::emptied_halls::{EmptiedHalls, List, Row};
 use tidepier_relay_standin::server::{Fault, Server};
 use tidepier_relay_standin::store::Down;
 use tidepier_relay_standin::{names, Client};
 
-use crate::desk::id;
-use crate::hall::{ready, started, Machine};
-use crate::house::{
-    arrived, ms, pair, post, promised, run, site, streaming, until, usual, whole, House, Result,
+use crate::box_harness::{ready, started, TestBox};
+use crate::choice_harness::id;
+use crate::harness::{
+    count_deliveries, ensure_not_executed, ensure_served_by, ms, post, run, server_settings, site,
+    start_with_two_servers, stream_server_settings, wait_until, Harness, Result,
 };
 
 /// Promised time to empty a hall: that of changes of the catalog, which
@@ -34,17 +35,17 @@
 }
 
 /// Waits until boxes send nothing more to a server, for no longer than promised.
-async fn emptied(machines: &[Machine], server: &Server, since: Instant) -> Result {
+async fn emptied(machines: &[TestBox], server: &Server, since: Instant) -> Result {
     for machine in machines {
-        until("emptied", async || Ok(!machine.serves_by(server)?)).await?;
+        wait_until("emptied", async || Ok(!machine.sends_to(server)?)).await?;
         ensure!(since.elapsed() < EMPTY_TIME, "{:?}", since.elapsed());
     }
     Ok(())
 }
 
-async fn given_back(machines: &[Machine], server: &Server, since: Instant) -> Result {
+async fn given_back(machines: &[TestBox], server: &Server, since: Instant) -> Result {
     for machine in machines {
-        until("given back", async || machine.serves_by(server)).await?;
+        wait_until("given back", async || machine.sends_to(server)).await?;
         ensure!(since.elapsed() < EMPTY_TIME, "{:?}", since.elapsed());
     }
     Ok(())
@@ -54,8 +55,8 @@
 fn a_hall_that_is_emptied_gets_nothing_new_from_any_box() -> Result {
     run(async |executor| {
         let site = site()?;
-        let near = site.server(usual(1))?;
-        let far = site.server(usual(2))?;
+        let near = site.server(server_settings(1))?;
+        let far = site.server(server_settings(2))?;
         let machines = started(&executor, &site, 3).await?;
         for _ in 0..2 {
             let since = Instant::now();
@@ -67,7 +68,7 @@
                 let attempt = format!("{number}");
                 let path = ["/r/x", "/o/x", "/s/x"][number % 3];
                 let answer = machine.call(&post(path, &attempt)).await?;
-                whole(&answer, &[&far], &attempt)?;
+                ensure_served_by(&answer, &[&far], &attempt)?;
             }
             ensure!(after(&near, quiet) == 0, "sent to an emptied hall");
             let since = Instant::now();
@@ -82,8 +83,11 @@
 fn several_halls_are_emptied_and_given_back_in_any_order() -> Result {
     run(async |executor| {
         let site = site()?;
-        let servers = [site.server(usual(1))?, site.server(usual(2))?];
-        let stays = site.server(usual(3))?;
+        let servers = [
+            site.server(server_settings(1))?,
+            site.server(server_settings(2))?,
+        ];
+        let stays = site.server(server_settings(3))?;
         let machines = started(&executor, &site, 2).await?;
         let since = Instant::now();
         site.empty_hall("hall-2");
@@ -92,7 +96,7 @@
         for server in &servers {
             emptied(&machines, server, since).await?;
         }
-        whole(
+        ensure_served_by(
             &machines[1].call(&post("/r/x", "only")).await?,
             &[&stays],
             "only",
@@ -102,10 +106,7 @@
         site.take_back("a-hall-that-nobody-knows");
         given_back(&machines, &servers[1], since).await?;
         for machine in &machines {
-            ensure!(
-                !machine.serves_by(&servers[0])?,
-                "hall-1 was given back too"
-            );
+            ensure!(!machine.sends_to(&servers[0])?, "hall-1 was given back too");
         }
         Ok(())
     })
@@ -115,8 +116,8 @@
 fn a_hall_is_emptied_in_time_though_watches_learn_nothing() -> Result {
     run(async |executor| {
         let site = site()?;
-        let near = site.server(usual(1))?;
-        let _far = site.server(usual(2))?;
+        let near = site.server(server_settings(1))?;
+        let _far = site.server(server_settings(2))?;
         let machines = started(&executor, &site, 2).await?;
         for _ in 0..2 {
             site.store.deaf(ms(3_000));
@@ -138,8 +139,8 @@
 fn a_hall_that_was_emptied_while_the_store_was_away_is_so_after_it() -> Result {
     run(async |executor| {
         let site = site()?;
-        let near = site.server(usual(1))?;
-        let _far = site.server(usual(2))?;
+        let near = site.server(server_settings(1))?;
+        let _far = site.server(server_settings(2))?;
         let machines = started(&executor, &site, 2).await?;
         site.store.faults(|faults| faults.down = Some(Down::Silent));
         Timer::after(ms(1_500)).await;
@@ -150,7 +151,7 @@
         site.store.faults(|faults| faults.down = Some(Down::Reset));
         Timer::after(ms(1_500)).await;
         for machine in &machines {
-            ensure!(!machine.serves_by(&near)?, "forgotten in an outage");
+            ensure!(!machine.sends_to(&near)?, "forgotten in an outage");
         }
         site.take_back("hall-1");
         let since = Instant::now();
@@ -163,19 +164,19 @@
 fn a_box_that_starts_knows_what_is_emptied_before_it_is_ready() -> Result {
     run(async |executor| {
         let site = site()?;
-        let near = site.server(usual(1))?;
-        let far = site.server(usual(2))?;
+        let near = site.server(server_settings(1))?;
+        let far = site.server(server_settings(2))?;
         site.empty_hall("hall-1");
         let mut machines = started(&executor, &site, 2).await?;
         for machine in &machines {
-            ensure!(!machine.serves_by(&near)?, "known too late");
+            ensure!(!machine.sends_to(&near)?, "known too late");
         }
         // One more, which hears of it from another.
-        let late = Machine::start(&executor, &site, "box-9", "hall-1", 100).await?;
+        let late = TestBox::start(&executor, &site, "box-9", "hall-1", 100).await?;
         machines.push(late);
         ready(&machines).await?;
-        ensure!(!machines[2].serves_by(&near)?, "known too late");
-        whole(
+        ensure!(!machines[2].sends_to(&near)?, "known too late");
+        ensure_served_by(
             &machines[2].call(&post("/r/x", "late")).await?,
             &[&far],
             "late",
@@ -188,20 +189,20 @@
 #[test]
 fn a_retry_does_not_go_to_an_emptied_hall() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor).await?;
+        let (near, far, house) = start_with_two_servers(executor).await?;
         let relay = house.router.relay();
         house.site.empty_hall("hall-2");
-        let service = id(crate::house::SERVICE)?;
-        until("emptied", async || {
+        let service = id(crate::harness::SERVICE)?;
+        wait_until("emptied", async || {
             Ok(relay.fleet.serving(&service).len() == 1)
         })
         .await?;
         near.fault(Fault::Shed, u32::MAX);
         for number in 0..5 {
             let attempt = format!("{number}");
-            promised(&house.post("/r/x", &attempt).await?)?;
+            ensure_not_executed(&house.post("/r/x", &attempt).await?)?;
             ensure!(
-                arrived(&[&far], &attempt) == 0,
+                count_deliveries(&[&far], &attempt) == 0,
                 "retried in an emptied hall"
             );
         }
@@ -213,19 +214,19 @@
 fn what_runs_in_an_emptied_hall_ends_whole() -> Result {
     run(async |executor| {
         let site = site()?;
-        let server = site.server(streaming(1, 20, ms(60)))?;
-        let house = House::open(executor.clone(), site).await?;
-        let front = house.front();
+        let server = site.server(stream_server_settings(1, 20, ms(60)))?;
+        let house = Harness::start_ready(executor.clone(), site).await?;
+        let front = house.router_address();
         let call = post("/u/x", "long");
         let stream = executor.spawn(async move { Client::once(front, &call).await });
-        until("begun", async || Ok(server.running() == 1)).await?;
+        wait_until("begun", async || Ok(server.running() == 1)).await?;
         house.site.empty_hall("hall-1");
         let fleet = &house.router.relay().fleet;
         let hall = id("hall-1")?;
-        let service = id(crate::house::SERVICE)?;
-        until("emptied", async || Ok(fleet.serving(&service).is_empty())).await?;
+        let service = id(crate::harness::SERVICE)?;
+        wait_until("emptied", async || Ok(fleet.serving(&service).is_empty())).await?;
         ensure!(fleet.running_in(&hall) == 1, "it is not counted");
-        whole(&stream.await?, &[&server], "long")?;
+        ensure_served_by(&stream.await?, &[&server], "long")?;
         ensure!(fleet.running_in(&hall) == 0, "it is still counted");
         Ok(())
     })
@@ -234,35 +235,35 @@
 #[test]
 fn without_a_server_outside_emptied_halls_requests_are_refused_at_once() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor).await?;
+        let (near, far, house) = start_with_two_servers(executor).await?;
         house.site.empty_hall("hall-1");
         house.site.empty_hall("hall-2");
         let fleet = &house.router.relay().fleet;
-        let service = id(crate::house::SERVICE)?;
-        until("emptied", async || Ok(fleet.serving(&service).is_empty())).await?;
+        let service = id(crate::harness::SERVICE)?;
+        wait_until("emptied", async || Ok(fleet.serving(&service).is_empty())).await?;
         for path in ["/r/x", "/o/x", "/s/x"] {
             let since = Instant::now();
             let answer = house.post(path, path).await?;
-            promised(&answer)?;
+            ensure_not_executed(&answer)?;
             ensure!(since.elapsed() < ms(100), "after {:?}", since.elapsed());
             ensure!(answer.body == br#"{"error":"emptied"}"#, "{answer:?}");
-            ensure!(arrived(&[&near, &far], path) == 0, "sent");
+            ensure!(count_deliveries(&[&near, &far], path) == 0, "sent");
         }
         ensure!(house.is_ready().await, "not ready for other services");
         house.site.take_back("hall-2");
-        until(
+        wait_until(
             "given back",
             async || Ok(fleet.serving(&service).len() == 1),
         )
         .await?;
-        whole(&house.post("/r/x", "again").await?, &[&far], "again")
+        ensure_served_by(&house.post("/r/x", "again").await?, &[&far], "again")
     })
 }
 
 #[test]
 fn an_entry_that_names_no_hall_harms_none() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor).await?;
+        let (near, far, house) = start_with_two_servers(executor).await?;
         for key in ["", "No Hall", "a/b"] {
             house
                 .site
@@ -272,9 +273,9 @@
         house.site.store.put("op/other", &7.into());
         house.site.empty_hall("hall-1");
         let fleet = &house.router.relay().fleet;
-        let service = id(crate::house::SERVICE)?;
-        until("emptied", async || Ok(fleet.serving(&service).len() == 1)).await?;
-        whole(&house.post("/r/x", "one").await?, &[&far], "one")?;
+        let service = id(crate::harness::SERVICE)?;
+        wait_until("emptied", async || Ok(fleet.serving(&service).len() == 1)).await?;
+        ensure_served_by(&house.post("/r/x", "one").await?, &[&far], "one")?;
         ensure!(near.runs().is_empty(), "sent to an emptied hall");
         Ok(())
     })
@@ -283,11 +284,11 @@
 #[test]
 fn a_proof_costs_one_call_though_a_hall_is_emptied() -> Result {
     run(async |executor| {
-        let (_near, _far, house) = pair(executor).await?;
+        let (_near, _far, house) = start_with_two_servers(executor).await?;
         house.site.empty_hall("hall-1");
         let fleet = &house.router.relay().fleet;
-        let service = id(crate::house::SERVICE)?;
-        until("emptied", async || Ok(fleet.serving(&service).len() == 1)).await?;
+        let service = id(crate::harness::SERVICE)?;
+        wait_until("emptied", async || Ok(fleet.serving(&service).len() == 1)).await?;
         Timer::after(ms(900)).await;
         let lists = house.site.store.calls("kv-range");
         let proofs = house.site.store.calls("kv-txn");
@@ -347,7 +348,7 @@
         order in prop::collection::vec((any::<prop::sample::Index>(), any::<bool>()), 0..24),
         newest_at in any::<prop::sample::Index>(),
     ) {
-        let known = Emptied::default();
+        let known = EmptiedHalls::default();
         let newest = state(&changes, changes.len());
         let newest_at = newest_at.index(order.len() + 1);
         for (step, (index, whole)) in order.iter().enumerate() {
@@ -383,7 +384,7 @@
         rows: rows.to_vec(),
         seen: Revision::of(number),
     };
-    let known = Emptied::default();
+    let known = EmptiedHalls::default();
     assert!(known.merge(&list(&[row(5)], 5), None));
     assert!(known.merge(&list(&[], 9), None));
     assert!(
--- a/crates/relay/tests/relay/ending.rs
+++ b/crates/relay/tests/relay/ending.rs
@@ -10,8 +10,8 @@
 use tidepier_relay_standin::server::{self, Server};
 use tidepier_relay_standin::site::{Site, HOST};
 
-use crate::hall::{keyed, Machine};
-use crate::house::{self, ms, until, Executor, Result};
+use crate::box_harness::{site_with_keys, TestBox};
+use crate::harness::{self, ms, wait_until, Executor, Result};
 use crate::shared;
 
 /// Servers that end under a request from which it counts as their end's cause.
@@ -49,7 +49,7 @@
         let server = site.server(server::Settings {
             hall: format!("hall-{}", number % 2 + 1),
             work: ms(40),
-            ..house::usual(number)
+            ..harness::server_settings(number)
         })?;
         for body in &self.ends_on {
             server.end_on(body);
@@ -134,7 +134,7 @@
 
 /// Sends a request to the boxes in turn for so long, each time as a new attempt.
 pub(crate) async fn insist(
-    machines: &[Machine],
+    machines: &[TestBox],
     target: &str,
     body: &[u8],
     time: Duration,
@@ -157,12 +157,12 @@
 pub(crate) async fn fleet(
     executor: &Executor,
     ends_on: &[&[u8]],
-) -> Result<(Site, Servers, Vec<Machine>)> {
-    let site = keyed()?;
+) -> Result<(Site, Servers, Vec<TestBox>)> {
+    let site = site_with_keys()?;
     let servers = Servers::start(&site, SERVERS, ends_on)?;
     let machines = shared::halls(executor, &site).await?;
-    until("known", async || {
-        let known = |it: &Machine| it.router.relay().fleet.len() == SERVERS as usize;
+    wait_until("known", async || {
+        let known = |it: &TestBox| it.router.relay().fleet.len() == SERVERS as usize;
         Ok(machines.iter().all(known))
     })
     .await?;
--- a/crates/relay/tests/relay/entries.rs
+++ b/crates/relay/tests/relay/entries.rs
@@ -13,8 +13,11 @@
 use tidepier_relay_standin::store::Down;
 use tidepier_relay_standin::Client;
 
-use crate::hall::{ready, settled, started, Machine};
-use crate::house::{ms, post, run, site, streaming, until, usual, whole, House, Result};
+use crate::box_harness::{ready, settled, started, TestBox};
+use crate::harness::{
+    ensure_served_by, ms, post, run, server_settings, site, stream_server_settings, wait_until,
+    Harness, Result,
+};
 
 /// Time from the end of the store's trouble from which its word counts; the
 /// default of the settings.
@@ -46,16 +49,16 @@
     Ok(Instant::now())
 }
 
-async fn dropped(machine: &Machine, server: &Server) -> Result {
-    until("dropped", async || Ok(!machine.knows(server))).await
+async fn dropped(machine: &TestBox, server: &Server) -> Result {
+    wait_until("dropped", async || Ok(!machine.knows(server))).await
 }
 
 #[test]
 fn the_doubt_is_over_before_the_stores_word_counts_again() -> Result {
     run(async |executor| {
         let site = site()?;
-        let lost = site.server(usual(1))?;
-        let _stays = site.server(usual(2))?;
+        let lost = site.server(server_settings(1))?;
+        let _stays = site.server(server_settings(2))?;
         let machines = started(&executor, &site, 2).await?;
         for _ in 0..2 {
             silence(&site);
@@ -70,7 +73,7 @@
             ensure!(back.elapsed() < most, "{:?}", back.elapsed());
             site.announce(&lost, State::Ready);
             for machine in &machines {
-                until("back", async || machine.serves_by(&lost)).await?;
+                wait_until("back", async || machine.sends_to(&lost)).await?;
             }
         }
         Ok(())
@@ -81,12 +84,12 @@
 fn a_box_that_followed_another_after_an_outage_believes_the_store_at_once() -> Result {
     run(async |executor| {
         let site = site()?;
-        let gone = site.server(usual(1))?;
-        let _stays = site.server(usual(2))?;
+        let gone = site.server(server_settings(1))?;
+        let _stays = site.server(server_settings(2))?;
         let mut machines = started(&executor, &site, 2).await?;
         silence(&site);
         let second = &machines[1];
-        until("noticed", async || Ok(second.store.asked() > 0)).await?;
+        wait_until("noticed", async || Ok(second.store.asked() > 0)).await?;
         Timer::after(ms(2_500)).await;
         site.store.faults(|faults| faults.down = None);
         settled(&machines, &[0]).await?;
@@ -140,7 +143,7 @@
 fn changed_slots_are_taken_over() -> Result {
     run(async |executor| {
         let site = site()?;
-        let server = site.server(usual(1))?;
+        let server = site.server(server_settings(1))?;
         let machines = started(&executor, &site, 2).await?;
         let id = server.settings().id.parse()?;
         let key = format!("{}{id}", tidepier_relay_standin::names::SERVERS);
@@ -150,7 +153,7 @@
         site.store.put(&key, &entry);
         for machine in &machines {
             let fleet = &machine.router.relay().fleet;
-            until("taken over", async || {
+            wait_until("taken over", async || {
                 Ok(fleet.get(&id).is_some_and(|known| known.slots() == 48))
             })
             .await?;
@@ -163,15 +166,15 @@
 fn a_server_that_joins_another_service_leaves_the_old_one() -> Result {
     run(async |executor| {
         let site = site()?;
-        let server = site.server(usual(1))?;
-        let house = House::open(executor, site).await?;
-        let mut other = usual(1);
+        let server = site.server(server_settings(1))?;
+        let house = Harness::start_ready(executor, site).await?;
+        let mut other = server_settings(1);
         other.service = "service-2".into();
         let other = house.site.server(other)?;
         let fleet = &house.router.relay().fleet;
         let old = server.settings().service.parse()?;
         let new = other.settings().service.parse()?;
-        until("moved", async || Ok(fleet.serving(&new).len() == 1)).await?;
+        wait_until("moved", async || Ok(fleet.serving(&new).len() == 1)).await?;
         ensure!(fleet.serving(&old).is_empty(), "in both services");
         Ok(())
     })
@@ -181,21 +184,21 @@
 fn a_stream_goes_on_at_a_server_whose_entry_goes() -> Result {
     run(async |executor| {
         let site = site()?;
-        let gone = site.server(streaming(1, 20, ms(100)))?;
-        let house = House::open(executor.clone(), site).await?;
-        let front = house.front();
+        let gone = site.server(stream_server_settings(1, 20, ms(100)))?;
+        let house = Harness::start_ready(executor.clone(), site).await?;
+        let front = house.router_address();
         let call = post("/u/x", "long");
         let stream = executor.spawn(async move { Client::once(front, &call).await });
-        until("begun", async || Ok(gone.running() == 1)).await?;
-        let stays = house.site.server(streaming(2, 20, ms(1)))?;
+        wait_until("begun", async || Ok(gone.running() == 1)).await?;
+        let stays = house.site.server(stream_server_settings(2, 20, ms(1)))?;
         // It never says that it leaves.
         house.site.withdraw(&gone);
         let fleet = &house.router.relay().fleet;
         let id = gone.settings().id.parse()?;
-        until("dropped", async || Ok(fleet.get(&id).is_none())).await?;
+        wait_until("dropped", async || Ok(fleet.get(&id).is_none())).await?;
         let answer = house.post("/u/x", "other").await?;
-        whole(&answer, &[&stays], "other")?;
-        whole(&stream.await?, &[&gone], "long")
+        ensure_served_by(&answer, &[&stays], "other")?;
+        ensure_served_by(&stream.await?, &[&gone], "long")
     })
 }
 
@@ -203,8 +206,8 @@
 fn a_server_that_says_nothing_new_is_no_change() -> Result {
     run(async |executor| {
         let site = site()?;
-        let server = site.server(usual(1))?;
-        let house = House::open(executor, site).await?;
+        let server = site.server(server_settings(1))?;
+        let house = Harness::start_ready(executor, site).await?;
         let fleet = &house.router.relay().fleet;
         let id = server.settings().id.parse()?;
         let before = fleet.get(&id).ok_or_else(|| eyre!("unknown"))?;
@@ -218,7 +221,7 @@
         while start.elapsed() < ms(4_000) {
             Timer::after(ms(200)).await;
             let attempt = format!("{:?}", start.elapsed());
-            whole(&house.post("/r/x", &attempt).await?, &[&server], &attempt)?;
+            ensure_served_by(&house.post("/r/x", &attempt).await?, &[&server], &attempt)?;
         }
         let after = fleet.get(&id).ok_or_else(|| eyre!("dropped"))?;
         ensure!(std::rc::Rc::ptr_eq(&before, &after), "forgotten in between");
