--- a/crates/relay/tests/relay/eras.rs
+++ b/crates/relay/tests/relay/eras.rs
@@ -16,9 +16,12 @@
 use tidepier_relay_standin::site::{Route, Site};
 use tidepier_relay_standin::store::{Copy, Down};
 
-use crate::hall::{self, address, keyed, ready, started, with_key, Machine, Process, REVOKE_TIME};
-use crate::house::{
-    ms, post, promised, run, single, until, usual, whole, Executor, House, Result, SERVICE,
+use crate::box_harness::{
+    self, address, ready, site_with_keys, started, with_key, Process, TestBox, REVOKE_TIME,
+};
+use crate::harness::{
+    ensure_not_executed, ensure_served_by, ms, post, run, server_settings, start_with_one_server,
+    wait_until, Executor, Harness, Result, SERVICE,
 };
 
 /// Promised time for a change of the catalog.
@@ -34,15 +37,15 @@
 }
 
 /// Waits until a route is served.
-async fn served(house: &House, prefix: &str) -> Result {
-    until("served", async || {
+async fn served(house: &Harness, prefix: &str) -> Result {
+    wait_until("served", async || {
         Ok(house.post(&format!("{prefix}x"), "probe").await?.status == 200)
     })
     .await
 }
 
 /// Checks that a route that was added at `since` is served in time.
-async fn in_force(house: &House, prefix: &str, since: Instant) -> Result {
+async fn in_force(house: &Harness, prefix: &str, since: Instant) -> Result {
     served(house, prefix).await?;
     ensure!(since.elapsed() < APPLY_TIME, "{:?}", since.elapsed());
     Ok(())
@@ -67,7 +70,7 @@
 
 /// The status that a box answers to a request with a key that was taken away; the
 /// request has not run.
-async fn refused(machine: &Machine, server: &Server, attempt: &str) -> Result {
+async fn refused(machine: &TestBox, server: &Server, attempt: &str) -> Result {
     let answer = machine.call(&with_key("goes", attempt)).await?;
     ensure!(matches!(answer.status, 401 | 503), "{attempt}: {answer:?}");
     ensure!(server.ran(attempt) == 0, "{attempt} ran");
@@ -79,7 +82,7 @@
 #[test]
 fn a_configuration_at_a_lower_revision_is_in_force_in_time() -> Result {
     run(async |executor| {
-        let (_server, house) = single(executor).await?;
+        let (_server, house) = start_with_one_server(executor).await?;
         let copy = house.site.store.copy();
         for prefix in ["/a/", "/b/", "/c/"] {
             house.site.declare(&[route(prefix)]);
@@ -99,7 +102,7 @@
 #[test]
 fn a_revision_that_is_given_out_again_proves_nothing() -> Result {
     run(async |executor| {
-        let (_server, house) = single(executor).await?;
+        let (_server, house) = start_with_one_server(executor).await?;
         let copy = house.site.store.copy();
         house.site.declare(&[route("/a/")]);
         served(&house, "/a/").await?;
@@ -117,7 +120,7 @@
 #[test]
 fn a_return_without_an_outage_is_noticed() -> Result {
     run(async |executor| {
-        let (_server, house) = single(executor).await?;
+        let (_server, house) = start_with_one_server(executor).await?;
         let copy = house.site.store.copy();
         for prefix in ["/a/", "/b/"] {
             house.site.declare(&[route(prefix)]);
@@ -139,15 +142,15 @@
 #[test]
 fn a_second_return_before_the_first_is_over_is_weighed_anew() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let server = site.server(usual(1))?;
+        let site = site_with_keys()?;
+        let server = site.server(server_settings(1))?;
         let first = site.store.copy();
         site.account("tenant-2", &["new"], 1);
         let machines = started(&executor, &site, 2).await?;
         let second = site.store.copy();
         site.declare(&[route("/a/")]);
         for machine in &machines {
-            until("in force", async || {
+            wait_until("in force", async || {
                 Ok(machine.call(&post("/a/x", "probe")).await?.status == 200)
             })
             .await?;
@@ -160,14 +163,14 @@
             for machine in &machines {
                 refused(machine, &server, &format!("{:?}", start.elapsed())).await?;
                 let answer = machine.call(&post("/a/x", "kept")).await?;
-                whole(&answer, &[&server], "kept")?;
+                ensure_served_by(&answer, &[&server], "kept")?;
             }
             Timer::after(ms(40)).await;
         }
         let since = Instant::now();
         site.declare(&[route("/new/")]);
         for machine in &machines {
-            until("in force", async || {
+            wait_until("in force", async || {
                 Ok(machine.call(&post("/new/x", "probe")).await?.status == 200)
             })
             .await?;
@@ -182,15 +185,15 @@
 #[test]
 fn a_key_that_was_taken_away_stays_so_while_the_store_is_behind() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let server = site.server(usual(1))?;
+        let site = site_with_keys()?;
+        let server = site.server(server_settings(1))?;
         let machines = started(&executor, &site, 3).await?;
         let copy = site.store.copy();
         site.account("tenant-2", &["new"], 1);
         let taken = Instant::now();
         let newest = config(&site)?;
         for machine in &machines {
-            until("refused", async || {
+            wait_until("refused", async || {
                 Ok(machine.call(&with_key("goes", "probe")).await?.status == 401)
             })
             .await?;
@@ -204,7 +207,7 @@
         }
         let since = Instant::now();
         site.store.put_config(&newest);
-        until("served", async || {
+        wait_until("served", async || {
             let mut all = true;
             for machine in &machines {
                 refused(machine, &server, &format!("{:?}", taken.elapsed())).await?;
@@ -224,14 +227,14 @@
 #[test]
 fn a_box_that_missed_a_change_does_not_prove_what_the_copy_has() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let server = site.server(usual(1))?;
-        let knows = Machine::start(&executor, &site, "box-1", "hall-1", 1_000).await?;
-        let misses = Machine::start(&executor, &site, "box-2", "hall-2", 1_000).await?;
+        let site = site_with_keys()?;
+        let server = site.server(server_settings(1))?;
+        let knows = TestBox::start(&executor, &site, "box-1", "hall-1", 1_000).await?;
+        let misses = TestBox::start(&executor, &site, "box-2", "hall-2", 1_000).await?;
         let machines = [knows, misses];
         ready(&machines).await?;
         // Each has listed the other.
-        until("listed", async || {
+        wait_until("listed", async || {
             Ok(machines.iter().all(|it| it.router.relay().boxes() == 2))
         })
         .await?;
@@ -239,7 +242,7 @@
         machines[1].store.cut();
         site.account("tenant-2", &["new"], 1);
         let taken = Instant::now();
-        until("refused", async || {
+        wait_until("refused", async || {
             Ok(machines[0].call(&with_key("goes", "probe")).await?.status == 401)
         })
         .await?;
@@ -263,8 +266,8 @@
 #[test]
 fn callers_come_back_later_while_the_store_is_behind() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let _server = site.server(usual(1))?;
+        let site = site_with_keys()?;
+        let _server = site.server(server_settings(1))?;
         let machines = started(&executor, &site, 2).await?;
         let copy = site.store.copy();
         site.account("tenant-2", &["new"], 1);
@@ -275,7 +278,7 @@
                 let answer = machine.call(&with_key("stays", "early")).await?;
                 Ok(answer.status == 503)
             };
-            until("refused", refused).await?;
+            wait_until("refused", refused).await?;
             let answer = machine.call(&with_key("stays", "told")).await?;
             ensure!(answer.body == br#"{"error":"behind"}"#, "{answer:?}");
             let wait = answer.field(names::RETRY_AFTER).unwrap_or_default();
@@ -291,9 +294,9 @@
 #[test]
 fn keys_are_served_on_where_the_copy_has_the_version_in_force() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let server = site.server(usual(1))?;
-        let house = House::with(executor, site, |told| {
+        let site = site_with_keys()?;
+        let server = site.server(server_settings(1))?;
+        let house = Harness::start_with_settings(executor, site, |told| {
             told["bounds"]["contact"] = json!(1_500);
             told["bounds"]["revoke_within"] = json!(4_000);
         })
@@ -305,7 +308,7 @@
         while start.elapsed() < ms(5_000) {
             let attempt = format!("{:?}", start.elapsed());
             let answer = house.call(&with_key("stays", &attempt)).await?;
-            whole(&answer, &[&server], &attempt)?;
+            ensure_served_by(&answer, &[&server], &attempt)?;
             Timer::after(ms(20)).await;
         }
         Ok(())
@@ -317,8 +320,8 @@
 #[test]
 fn a_key_whose_end_was_lost_at_once_opens_nothing_until_it_is_written_again() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let server = site.server(usual(1))?;
+        let site = site_with_keys()?;
+        let server = site.server(server_settings(1))?;
         let machines = started(&executor, &site, 2).await?;
         let copy = site.store.copy();
         site.store.faults(|faults| faults.down = Some(Down::Reset));
@@ -348,7 +351,7 @@
         for machine in &machines {
             refused(machine, &server, "after").await?;
         }
-        hall::served(&machines, &[&server], ms(300)).await
+        box_harness::served(&machines, &[&server], ms(300)).await
     })
 }
 
@@ -357,21 +360,21 @@
 #[test]
 fn a_box_that_starts_begins_with_what_others_know() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let server = site.server(usual(1))?;
+        let site = site_with_keys()?;
+        let server = site.server(server_settings(1))?;
         let machines = started(&executor, &site, 2).await?;
         let copy = site.store.copy();
         site.account("tenant-2", &["new"], 1);
         let version = site.declare(&[route("/a/")]);
         for machine in &machines {
-            until("in force", async || {
+            wait_until("in force", async || {
                 Ok(machine.router.relay().view.version().0 == version)
             })
             .await?;
         }
         drill(&site, &copy).await;
         // The strongest link, so that it reads the store and asks nobody before it.
-        let starts = Machine::start(&executor, &site, "box-9", "hall-1", 9_000).await?;
+        let starts = TestBox::start(&executor, &site, "box-9", "hall-1", 9_000).await?;
         let start = Instant::now();
         while start.elapsed() < ms(2_000) {
             let known = starts.router.relay().view.version().0;
@@ -395,8 +398,8 @@
 #[test]
 fn boxes_that_all_start_anew_open_no_key_by_a_copy() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let server = site.server(usual(1))?;
+        let site = site_with_keys()?;
+        let server = site.server(server_settings(1))?;
         let machines = started(&executor, &site, 2).await?;
         let copy = site.store.copy();
         site.account("tenant-2", &["new"], 1);
@@ -405,7 +408,7 @@
         drill(&site, &copy).await;
         let mut machines = Vec::new();
         for (name, link) in [("box-5", 2_000), ("box-6", 1_000)] {
-            machines.push(Machine::start(&executor, &site, name, "hall-1", link).await?);
+            machines.push(TestBox::start(&executor, &site, name, "hall-1", link).await?);
         }
         let start = Instant::now();
         while start.elapsed() < REVOKE_TIME - ms(600) {
@@ -421,7 +424,7 @@
         for machine in &machines {
             refused(machine, &server, "after").await?;
         }
-        hall::served(&machines, &[&server], ms(300)).await
+        box_harness::served(&machines, &[&server], ms(300)).await
     })
 }
 
@@ -429,24 +432,24 @@
 #[test]
 fn a_box_that_starts_in_an_era_that_is_whole_is_ready_at_once() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let server = site.server(usual(1))?;
+        let site = site_with_keys()?;
+        let server = site.server(server_settings(1))?;
         let mut machines = started(&executor, &site, 1).await?;
         let copy = site.store.copy();
         drill(&site, &copy).await;
         site.account("tenant-2", &["new"], 1);
-        until("marked", async || {
+        wait_until("marked", async || {
             let mark = site.store.value(names::MARK).unwrap_or_default();
             Ok(serde_json::from_slice::<Value>(&mark)? == json!({ "era": site.store.era() }))
         })
         .await?;
         machines.clear();
         let since = Instant::now();
-        machines.push(Machine::start(&executor, &site, "box-7", "hall-1", 1_000).await?);
+        machines.push(TestBox::start(&executor, &site, "box-7", "hall-1", 1_000).await?);
         ready(&machines).await?;
         // It would wait for the whole of that time.
         ensure!(since.elapsed() < REVOKE_TIME / 2, "{:?}", since.elapsed());
-        hall::served(&machines, &[&server], ms(100)).await
+        box_harness::served(&machines, &[&server], ms(100)).await
     })
 }
 
@@ -455,17 +458,17 @@
 #[test]
 fn what_nobody_writes_again_is_believed_after_a_while() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let server = site.server(usual(1))?;
+        let site = site_with_keys()?;
+        let server = site.server(server_settings(1))?;
         let copy = site.store.copy();
         site.store.go_back(&copy);
-        let machines = [Machine::start(&executor, &site, "box-1", "hall-1", 1_000).await?];
+        let machines = [TestBox::start(&executor, &site, "box-1", "hall-1", 1_000).await?];
         let start = Instant::now();
-        until("ready", async || Ok(machines[0].is_ready())).await?;
+        wait_until("ready", async || Ok(machines[0].is_ready())).await?;
         let waited = start.elapsed();
         ensure!(waited > REVOKE_TIME - ms(300), "{waited:?}");
         ensure!(waited < REVOKE_TIME + ms(1_500), "{waited:?}");
-        hall::served(&machines, &[&server], ms(100)).await
+        box_harness::served(&machines, &[&server], ms(100)).await
     })
 }
 
@@ -473,7 +476,7 @@
 #[test]
 fn a_late_answer_of_the_former_era_changes_nothing() -> Result {
     run(async |executor| {
-        let (_server, house) = single(executor).await?;
+        let (_server, house) = start_with_one_server(executor).await?;
         let copy = house.site.store.copy();
         house.site.declare(&[route("/a/")]);
         served(&house, "/a/").await?;
@@ -503,7 +506,7 @@
 #[test]
 fn nothing_is_called_missing_while_the_store_is_behind() -> Result {
     run(async |executor| {
-        let (_server, house) = single(executor).await?;
+        let (_server, house) = start_with_one_server(executor).await?;
         let copy = house.site.store.copy();
         house.site.declare(&[route("/a/")]);
         served(&house, "/a/").await?;
@@ -511,9 +514,9 @@
         // The proof of before has grown too old by then.
         Timer::after(APPLY_TIME + ms(200)).await;
         served(&house, "/a/").await?;
-        promised(&house.post("/b/x", "unknown").await?)?;
+        ensure_not_executed(&house.post("/b/x", "unknown").await?)?;
         house.site.declare(&[route("/c/")]);
-        until("told", async || {
+        wait_until("told", async || {
             Ok(house.post("/b/x", "unknown").await?.status == 404)
         })
         .await
@@ -524,19 +527,19 @@
 #[test]
 fn a_reader_that_is_killed_beside_a_return_is_replaced() -> Result {
     run(async |executor: Executor| {
-        let site = keyed()?;
-        let server = site.server(usual(1))?;
+        let site = site_with_keys()?;
+        let server = site.server(server_settings(1))?;
         let peer = address();
-        let told = hall::settings(&site, "box-9", "hall-1", 9_000, peer);
+        let told = box_harness::settings(&site, "box-9", "hall-1", 9_000, peer);
         let mut reader = Process::start(told.clone(), peer)?;
-        until("serving", async || Ok(reader.serves().await)).await?;
-        let machines = hall::begun(&executor, &site, 2).await?;
-        hall::settled(&machines, &[]).await?;
+        wait_until("serving", async || Ok(reader.serves().await)).await?;
+        let machines = box_harness::start_boxes(&executor, &site, 2).await?;
+        box_harness::settled(&machines, &[]).await?;
         let copy = site.store.copy();
         site.account("tenant-2", &["new"], 1);
         let newest = config(&site)?;
         for machine in &machines {
-            until("refused", async || {
+            wait_until("refused", async || {
                 Ok(machine.call(&with_key("goes", "probe")).await?.status == 401)
             })
             .await?;
@@ -553,6 +556,6 @@
         }
         site.store.put_config(&newest);
         ready(&machines).await?;
-        hall::served(&machines, &[&server], ms(500)).await
+        box_harness::served(&machines, &[&server], ms(500)).await
     })
 }
--- a/crates/relay/tests/relay/fading.rs
+++ b/crates/relay/tests/relay/fading.rs
@@ -13,11 +13,11 @@
 use tidepier_clock::Instant;
 use tidepier_ids as ids;
 use tidepier_relay::choose::filter::Filter;
-use tidepier_relay::choose::{self, Ask};
+use tidepier_relay::choose::{self, Criteria};
 use tidepier_relay::health::Outcome;
 
-use crate::desk::{id, Desk, CONNECTIONS};
-use crate::house::{ms, Result};
+use crate::choice_harness::{id, ChoiceHarness, CONNECTIONS};
+use crate::harness::{ms, Result};
 
 /// Requests that are placed one after the other, with none under way.
 const ASKED: usize = 300;
@@ -26,14 +26,14 @@
 const SHARE: usize = ASKED / 9;
 
 /// How many of some requests at a plain service a server gets.
-fn placed(desk: &Desk, server: &ids::Server, now: Instant) -> usize {
-    let ask = Ask {
+fn placed(desk: &ChoiceHarness, server: &ids::Server, now: Instant) -> usize {
+    let ask = Criteria {
         prompt: None,
         copy_ms: None,
         tried: &[],
         filter: Filter::default(),
         hall: &desk.hall,
-        breaks: false,
+        not_resumable: false,
         connections: CONNECTIONS,
         crowd_factor: 2.0,
     };
@@ -45,20 +45,27 @@
 }
 
 /// A box with three servers in its hall.
-fn desk() -> Result<Desk> {
-    Desk::new("hall-2", [1, 3, 5])
+fn desk() -> Result<ChoiceHarness> {
+    ChoiceHarness::new("hall-2", [1, 3, 5])
 }
 
 /// The same with servers 1 to 3, the second one in another hall.
-fn halls() -> Result<Desk> {
-    Desk::new("hall-2", [1, 2, 3])
+fn halls() -> Result<ChoiceHarness> {
+    ChoiceHarness::new("hall-2", [1, 2, 3])
 }
 
-fn fail(desk: &Desk, number: u16, share: f64, at: Instant) -> Result {
+fn fail(desk: &ChoiceHarness, number: u16, share: f64, at: Instant) -> Result {
     let backend = desk.backend(&id(&format!("i-{number}"))?)?;
     for number in 1..=40 {
         let failed = (f64::from(number) * share).fract() < share;
-        backend.record(if failed { Outcome::Bad } else { Outcome::Good }, at);
+        backend.record(
+            if failed {
+                Outcome::Errored
+            } else {
+                Outcome::Succeeded
+            },
+            at,
+        );
     }
     Ok(())
 }
@@ -90,7 +97,7 @@
     for number in [1, 3] {
         desk.backend(&id(&format!("i-{number}"))?)?
             .health
-            .took(ms(5), desk.start);
+            .record_latency(ms(5), desk.start);
     }
     let got = placed(&desk, &id("i-5")?, desk.start + ms(10));
     ensure!(got >= SHARE, "{got} of {ASKED}");
@@ -103,7 +110,7 @@
     let desk = desk()?;
     for (number, time) in [(1, 5), (3, 5), (5, 400)] {
         let backend = desk.backend(&id(&format!("i-{number}"))?)?;
-        backend.health.took(ms(time), desk.start);
+        backend.health.record_latency(ms(time), desk.start);
     }
     let slow = id("i-5")?;
     let at_once = placed(&desk, &slow, desk.start + ms(10));
@@ -125,7 +132,7 @@
     ensure!(placed(&desk, &far, start) == 0, "the case did not arise");
     for number in [1, 3] {
         let backend = desk.backend(&id(&format!("i-{number}"))?)?;
-        backend.health.turned_away(start);
+        backend.health.record_rejection(start);
     }
     let at_once = placed(&desk, &far, start + ms(20));
     ensure!(at_once == ASKED, "{at_once} of {ASKED} elsewhere");
--- a/crates/relay/tests/relay/house.rs
+++ b/crates/relay/tests/relay/harness.rs
@@ -54,7 +54,7 @@
     let single = Kind::Stream { resumable: false };
     site.declare(&[
         Route::new("/r/", Kind::Repeatable, SERVICE),
-        Route::new("/o/", Kind::Once, SERVICE),
+        Route::new("/o/", Kind::AtMostOnce, SERVICE),
         Route::new("/s/", resumable, SERVICE),
         Route::new("/u/", single, SERVICE),
     ]);
@@ -63,7 +63,7 @@
 
 /// A server whose requests all end as usual. The first number is in the hall
 /// of the router and gets its first request, the others are elsewhere.
-pub(crate) fn usual(number: u32) -> server::Settings {
+pub(crate) fn server_settings(number: u32) -> server::Settings {
     server::Settings {
         id: format!("i-{number}"),
         hall: format!("hall-{number}"),
@@ -74,14 +74,14 @@
 }
 
 /// The same for a server of streams.
-pub(crate) fn streaming(number: u32, count: u64, pause: Duration) -> server::Settings {
+pub(crate) fn stream_server_settings(number: u32, count: u64, pause: Duration) -> server::Settings {
     let events = Some(server::Events { count, pause });
-    let usual = usual(number);
+    let usual = server_settings(number);
     server::Settings { events, ..usual }
 }
 
 /// A router and its site.
-pub(crate) struct House {
+pub(crate) struct Harness {
     pub(crate) site: Site,
     pub(crate) router: Router,
 }
@@ -96,25 +96,25 @@
     })
 }
 
-impl House {
+impl Harness {
     /// Starts a router and waits until it is ready.
-    pub(crate) async fn open(executor: Executor, site: Site) -> Result<Self> {
-        Self::with(executor, site, |_| {}).await
+    pub(crate) async fn start_ready(executor: Executor, site: Site) -> Result<Self> {
+        Self::start_with_settings(executor, site, |_| {}).await
     }
 
     /// The same with changed settings.
-    pub(crate) async fn with(
+    pub(crate) async fn start_with_settings(
         executor: Executor,
         site: Site,
         change: impl FnOnce(&mut Value),
     ) -> Result<Self> {
-        let house = Self::unready(executor, site, change)?;
-        until("ready", async || Ok(house.is_ready().await)).await?;
+        let house = Self::start_unready(executor, site, change)?;
+        wait_until("ready", async || Ok(house.is_ready().await)).await?;
         Ok(house)
     }
 
     /// Starts a router.
-    pub(crate) fn unready(
+    pub(crate) fn start_unready(
         executor: Executor,
         site: Site,
         change: impl FnOnce(&mut Value),
@@ -127,8 +127,8 @@
         Ok(Self { site, router })
     }
 
-    pub(crate) fn front(&self) -> SocketAddr {
-        self.router.callers()
+    pub(crate) fn router_address(&self) -> SocketAddr {
+        self.router.client_address()
     }
 
     /// Whether it knows a server, be it one that leaves.
@@ -138,7 +138,7 @@
 
     /// What its readiness address says.
     pub(crate) async fn is_ready(&self) -> bool {
-        let Some(address) = self.router.readiness() else {
+        let Some(address) = self.router.readiness_address() else {
             return false;
         };
         let call = Call::new("GET", HOST, "/-/readyz", "ready").leaving(ms(900));
@@ -148,7 +148,7 @@
 
     /// Sends a call on a connection of its own.
     pub(crate) async fn call(&self, call: &Call) -> Result<Answer> {
-        Ok(Client::once(self.front(), call).await?)
+        Ok(Client::once(self.router_address(), call).await?)
     }
 
     /// Sends a usual call.
@@ -158,20 +158,22 @@
 }
 
 /// A usual server and a router that is ready.
-pub(crate) async fn single(executor: Executor) -> Result<(Server, House)> {
+pub(crate) async fn start_with_one_server(executor: Executor) -> Result<(Server, Harness)> {
     let site = site()?;
-    let server = site.server(usual(1))?;
-    let house = House::open(executor, site).await?;
+    let server = site.server(server_settings(1))?;
+    let house = Harness::start_ready(executor, site).await?;
     Ok((server, house))
 }
 
 /// A usual server in the hall of a router, another elsewhere, and the router,
 /// which is ready.
-pub(crate) async fn pair(executor: Executor) -> Result<(Server, Server, House)> {
+pub(crate) async fn start_with_two_servers(
+    executor: Executor,
+) -> Result<(Server, Server, Harness)> {
     let site = site()?;
-    let near = site.server(usual(1))?;
-    let far = site.server(usual(2))?;
-    let house = House::open(executor, site).await?;
+    let near = site.server(server_settings(1))?;
+    let far = site.server(server_settings(2))?;
+    let house = Harness::start_ready(executor, site).await?;
     Ok((near, far, house))
 }
 
@@ -182,8 +184,8 @@
 }
 
 /// Waits until nothing takes connections at the address of a crashed server.
-pub(crate) async fn down(server: &Server) -> Result {
-    until("down", async || {
+pub(crate) async fn wait_until_down(server: &Server) -> Result {
+    wait_until("down", async || {
         Ok(Client::open(server.address()).await.is_err())
     })
     .await
@@ -195,7 +197,7 @@
 }
 
 /// Waits until something holds.
-pub(crate) async fn until(what: &str, mut holds: impl AsyncFnMut() -> Result<bool>) -> Result {
+pub(crate) async fn wait_until(what: &str, mut holds: impl AsyncFnMut() -> Result<bool>) -> Result {
     let start = Instant::now();
     while !holds().await? {
         ensure!(start.elapsed() < PATIENCE, "never {what}");
@@ -205,7 +207,7 @@
 }
 
 /// Checks that an answer is the whole one that a server made for the attempt.
-pub(crate) fn whole(answer: &Answer, servers: &[&Server], attempt: &str) -> Result {
+pub(crate) fn ensure_served_by(answer: &Answer, servers: &[&Server], attempt: &str) -> Result {
     ensure!(answer.status == 200, "{attempt}: {answer:?}");
     ensure!(answer.complete, "{attempt}: cut off");
     ensure!(answer.field(names::ATTEMPT) == Some(attempt), "{answer:?}");
@@ -220,7 +222,7 @@
     let (run, settings) = made.ok_or_else(|| eyre!("{attempt}: a foreign signature"))?;
     ensure!(run.attempt == attempt, "signed for {}", run.attempt);
     let body: Vec<u8> = match settings.events {
-        Some(events) => text(1..=events.count),
+        Some(events) => stream_body(1..=events.count),
         None if run.method == "HEAD" => Vec::new(),
         None => run.text(settings.answer_bytes),
     };
@@ -229,12 +231,12 @@
 }
 
 /// The body of a stream of these events.
-pub(crate) fn text(ids: std::ops::RangeInclusive<u64>) -> Vec<u8> {
+pub(crate) fn stream_body(ids: std::ops::RangeInclusive<u64>) -> Vec<u8> {
     ids.map(server::event).collect::<String>().into_bytes()
 }
 
 /// Checks that an answer promises that the request has not run.
-pub(crate) fn promised(answer: &Answer) -> Result {
+pub(crate) fn ensure_not_executed(answer: &Answer) -> Result {
     ensure!(answer.status == 503, "{answer:?}");
     let wait = answer.field(names::RETRY_AFTER);
     let wait = wait.ok_or_else(|| eyre!("no time to come back"))?;
@@ -243,12 +245,12 @@
 }
 
 /// Runs of an attempt at some servers.
-pub(crate) fn ran(servers: &[&Server], attempt: &str) -> usize {
+pub(crate) fn count_runs(servers: &[&Server], attempt: &str) -> usize {
     servers.iter().map(|server| server.ran(attempt)).sum()
 }
 
 /// Sendings of an attempt to some servers, refused ones included.
-pub(crate) fn arrived(servers: &[&Server], attempt: &str) -> usize {
+pub(crate) fn count_deliveries(servers: &[&Server], attempt: &str) -> usize {
     let runs = servers.iter().flat_map(|server| server.runs());
     runs.filter(|run| run.attempt == attempt).count()
 }
--- a/crates/relay/tests/relay/impostors.rs
+++ b/crates/relay/tests/relay/impostors.rs
@@ -12,18 +12,19 @@
 use tidepier_core::era::Revision;
 use tidepier_core::server::{Server, State};
 use tidepier_h1::{Conn, Listener};
-use tidepier_relay::emptied::List;
-use tidepier_relay::message::follow::{Answer, Ask, Change, Position, Row, Servers};
+use tidepier_relay::emptied_halls::List;
+use tidepier_relay::message::follow::{Answer, Change, Position, Request, Row, Servers};
 use tidepier_relay::message::link;
-use tidepier_relay::message::{Question, VERSION};
+use tidepier_relay::message::{PeerRequest, VERSION};
 use tidepier_relay_standin::names;
 use tidepier_relay_standin::server as stand_in;
 use tidepier_relay_standin::site::{Route, Site};
 
-use crate::hall::{
-    address, begun, keyed, readers, register, served, settled, started, Machine, PROOF_TIME,
+use crate::box_harness::{
+    address, readers, register, served, settled, site_with_keys, start_boxes, started, TestBox,
+    PROOF_TIME,
 };
-use crate::house::{self, ms, run, until, usual, Executor, Result, SERVICE};
+use crate::harness::{self, ms, run, server_settings, wait_until, Executor, Result, SERVICE};
 
 /// Time without data after which a connection of a test ends; never.
 const UNACKED: Duration = Duration::from_secs(30);
@@ -42,7 +43,7 @@
 fn impostor(
     executor: &Executor,
     site: &Site,
-    answer: impl Fn(&Ask) -> Say + 'static,
+    answer: impl Fn(&Request) -> Say + 'static,
 ) -> Result<Task<()>> {
     let peer = address();
     let listener = Listener::bind(peer)?;
@@ -62,10 +63,10 @@
     }))
 }
 
-async fn lie(mut conn: Conn, answer: &impl Fn(&Ask) -> Say) -> Result {
+async fn lie(mut conn: Conn, answer: &impl Fn(&Request) -> Say) -> Result {
     loop {
-        let question: Question = link::receive(&mut conn).await?;
-        let Question::Follow(ask) = question else {
+        let question: PeerRequest = link::receive(&mut conn).await?;
+        let PeerRequest::Follow(ask) = question else {
             continue;
         };
         match answer(&ask) {
@@ -87,7 +88,7 @@
 
 /// An answer that vouches for a configuration of this revision and no servers'
 /// changes.
-fn told(ask: &Ask, revision: u64) -> Answer {
+fn told(ask: &Request, revision: u64) -> Answer {
     Answer {
         version: VERSION,
         number: ask.number,
@@ -109,11 +110,11 @@
 }
 
 /// Boxes beside a false reader serve all the same.
-async fn serve_beside(executor: Executor, answer: impl Fn(&Ask) -> Say + 'static) -> Result {
-    let site = keyed()?;
-    let server = site.server(usual(1))?;
+async fn serve_beside(executor: Executor, answer: impl Fn(&Request) -> Say + 'static) -> Result {
+    let site = site_with_keys()?;
+    let server = site.server(server_settings(1))?;
     let _impostor = impostor(&executor, &site, answer)?;
-    let machines = begun(&executor, &site, 2).await?;
+    let machines = start_boxes(&executor, &site, 2).await?;
     served(&machines, &[&server], ms(1_500)).await?;
     let found = readers(&machines, PROOF_TIME).await;
     ensure!(found.contains(&0), "read by {found:?}");
@@ -123,7 +124,7 @@
 #[test]
 fn a_reader_of_another_version_is_not_believed() -> Result {
     run(async |executor| {
-        let other = |ask: &Ask| {
+        let other = |ask: &Request| {
             let version = VERSION + 1;
             let told = told(ask, 1_000);
             Say::Answer(Box::new(Answer { version, ..told }), Some(b"{}".to_vec()))
@@ -135,7 +136,7 @@
 #[test]
 fn a_reader_that_sends_garbage_is_not_believed() -> Result {
     run(async |executor| {
-        let garbage = |ask: &Ask| match ask.number % 3 {
+        let garbage = |ask: &Request| match ask.number % 3 {
             0 => Say::Bytes(vec![0xff; 64]),
             1 => Say::Bytes(vec![0, 0, 0, 4, 1, 2, 3, 4]),
             _ => Say::Bytes(vec![0, 0, 0, 9, 0xa1]),
@@ -152,7 +153,7 @@
 #[test]
 fn a_reader_that_cannot_vouch_is_not_believed() -> Result {
     run(async |executor| {
-        let unsure = |ask: &Ask| {
+        let unsure = |ask: &Request| {
             let age_ms = None;
             let told = told(ask, 1_000);
             Say::Answer(Box::new(Answer { age_ms, ..told }), None)
@@ -164,8 +165,8 @@
 #[test]
 fn an_older_configuration_is_not_taken_over() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let server = site.server(usual(1))?;
+        let site = site_with_keys()?;
+        let server = site.server(server_settings(1))?;
         let entry = || -> Result<(u64, Vec<u8>)> {
             let text = site.store.value(names::CONFIG);
             Ok((
@@ -180,14 +181,14 @@
         // It vouches for the newest entry at first, later for the one before.
         let stale = Rc::new(Cell::new(false));
         let said = stale.clone();
-        let old = move |ask: &Ask| {
+        let old = move |ask: &Request| {
             let (revision, text) = if said.get() { &older } else { &newer };
             let servers = Servers::All(vec![row.clone()], Revision::of(*revision));
             let told = told(ask, *revision);
             Say::Answer(Box::new(Answer { servers, ..told }), Some(text.clone()))
         };
         let _impostor = impostor(&executor, &site, old)?;
-        let machines = begun(&executor, &site, 2).await?;
+        let machines = start_boxes(&executor, &site, 2).await?;
         settled(&machines, &[]).await?;
         stale.set(true);
         let start = Instant::now();
@@ -221,8 +222,8 @@
 #[test]
 fn garbage_on_the_port_of_boxes_does_no_harm() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let server = site.server(usual(1))?;
+        let site = site_with_keys()?;
+        let server = site.server(server_settings(1))?;
         let machines = started(&executor, &site, 2).await?;
         let peer = machines[0].peer;
         let open = || Conn::open(peer, ms(500), UNACKED);
@@ -238,18 +239,18 @@
             conn.writer().write_all(&bytes).await?;
             closed(&mut conn).await?;
         }
-        let ask = Ask {
+        let ask = Request {
             version: VERSION,
             number: 5,
             document: 0,
             position: Position::default(),
-            more: None,
+            options: None,
         };
         let mut other = open().await?;
         let version = VERSION + 1;
         link::send(
             &other,
-            &Question::Follow(Ask {
+            &PeerRequest::Follow(Request {
                 version,
                 ..ask.clone()
             }),
@@ -264,7 +265,7 @@
             silent.push(open().await?);
         }
         let mut right = open().await?;
-        link::send(&right, &Question::Follow(ask)).await?;
+        link::send(&right, &PeerRequest::Follow(ask)).await?;
         let told: Answer = link::receive(&mut right).await?;
         ensure!((told.version, told.number) == (VERSION, 5), "{told:?}");
         let Some(count) = told.document_bytes else {
@@ -307,8 +308,8 @@
 #[test]
 fn a_server_that_goes_is_known_before_a_slow_configuration() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let server = site.server(usual(1))?;
+        let site = site_with_keys()?;
+        let server = site.server(server_settings(1))?;
         let row = Row::new(&announced(&server)?, Revision::of(site.store.revision()));
         let id = row.id().clone();
         let text = site.store.value(names::CONFIG);
@@ -316,7 +317,7 @@
         let revision = site.store.revision();
         let going = Rc::new(Cell::new(false));
         let said = going.clone();
-        let slow = move |ask: &Ask| {
+        let slow = move |ask: &Request| {
             if ask.document < revision || !said.get() {
                 let servers = Servers::All(vec![row.clone()], Revision::of(revision));
                 let told = told(ask, revision);
@@ -324,7 +325,7 @@
                 return Say::Answer(Box::new(Answer { servers, ..told }), document);
             }
             let answer = Answer {
-                servers: Servers::Changes(vec![Change::Gone(
+                servers: Servers::Changes(vec![Change::Removed(
                     id.clone(),
                     Revision::of(revision + 1),
                 )]),
@@ -334,12 +335,15 @@
             Say::Bytes(frame(&answer).unwrap_or_default())
         };
         let _impostor = impostor(&executor, &site, slow)?;
-        let machine = Machine::start(&executor, &site, "box-0", "hall-1", 5_000).await?;
+        let machine = TestBox::start(&executor, &site, "box-0", "hall-1", 5_000).await?;
         settled(std::slice::from_ref(&machine), &[]).await?;
-        ensure!(house::knows(&machine.router, &server), "not known");
+        ensure!(harness::knows(&machine.router, &server), "not known");
         going.set(true);
         let start = Instant::now();
-        until("gone", async || Ok(!house::knows(&machine.router, &server))).await?;
+        wait_until("gone", async || {
+            Ok(!harness::knows(&machine.router, &server))
+        })
+        .await?;
         ensure!(start.elapsed() < ms(1_000), "{:?}", start.elapsed());
         Ok(())
     })
@@ -348,18 +352,18 @@
 #[test]
 fn an_answer_that_has_begun_is_waited_for() -> Result {
     run(async |executor| {
-        let site = keyed()?;
+        let site = site_with_keys()?;
         let last = Rc::new(Cell::new(0));
         let seen = last.clone();
         // As the list of very many servers does over a weak link.
-        let slow = move |ask: &Ask| {
+        let slow = move |ask: &Request| {
             seen.set(seen.get().max(ask.number));
             let mut bytes = frame(&told(ask, 1)).unwrap_or_default();
             let rest = bytes.split_off(bytes.len() / 2);
             Say::Slowly(bytes, ms(900), rest)
         };
         let _impostor = impostor(&executor, &site, slow)?;
-        let _machine = Machine::start(&executor, &site, "box-0", "hall-1", 5_000).await?;
+        let _machine = TestBox::start(&executor, &site, "box-0", "hall-1", 5_000).await?;
         for _ in 0..50 {
             Timer::after(ms(100)).await;
             if last.get() > 1 {
--- a/crates/relay/tests/relay/index.rs
+++ b/crates/relay/tests/relay/index.rs
@@ -9,10 +9,10 @@
 use tidepier_relay::fleet::Key;
 use tidepier_relay::traffic::coverage::Coverage;
 use tidepier_relay::traffic::index::Index;
-use tidepier_relay::traffic::log::{Log, News, Peer, Position, Row};
+use tidepier_relay::traffic::log::{Batch, Log, Peer, Placement, Position};
 
-use crate::desk::{id, prompt, LARGE};
-use crate::house::Result;
+use crate::choice_harness::{id, prompt, LARGE};
+use crate::harness::Result;
 
 /// Parts that an index remembers.
 const PARTS: u64 = 8_192;
@@ -33,11 +33,11 @@
     let start = Instant::now();
     let asked = prompt(7, LARGE);
     let (first, second) = (key(1)?, key(2)?);
-    index.sent(&asked, first, start);
-    index.sent(&asked, second, start + Duration::from_secs(1));
+    index.record_local(&asked, first, start);
+    index.record_local(&asked, second, start + Duration::from_secs(1));
     let holders = |after| index.holders(&part(7), start + Duration::from_secs(after));
     ensure!(holders(2) == [second, first], "{:?}", holders(2));
-    index.sent(&asked, first, start + Duration::from_secs(30));
+    index.record_local(&asked, first, start + Duration::from_secs(30));
     ensure!(holders(31) == [first, second], "{:?}", holders(31));
     ensure!(holders(70) == [first], "{:?}", holders(70));
     ensure!(holders(100).is_empty(), "{:?}", holders(100));
@@ -51,22 +51,28 @@
     let start = Instant::now();
     let at = |after| start + Duration::from_secs(after);
     let asked = prompt(7, LARGE);
-    ensure!(index.sent(&asked, key(1)?, at(0)), "not told");
-    ensure!(!index.sent(&asked, key(1)?, at(5)), "told twice");
+    ensure!(index.record_local(&asked, key(1)?, at(0)), "not told");
+    ensure!(!index.record_local(&asked, key(1)?, at(5)), "told twice");
     ensure!(
-        index.sent(&asked, key(2)?, at(6)),
+        index.record_local(&asked, key(2)?, at(6)),
         "another engine not told"
     );
-    ensure!(!index.told(7, key(2)?, at(7)), "passed on twice");
-    ensure!(index.told(7, key(3)?, at(8)), "news not passed on");
-    ensure!(!index.sent(&asked, key(3)?, at(9)), "told back");
-    ensure!(index.sent(&asked, key(1)?, at(25)), "not told again");
+    ensure!(!index.record_remote(7, key(2)?, at(7)), "passed on twice");
+    ensure!(index.record_remote(7, key(3)?, at(8)), "news not passed on");
+    ensure!(!index.record_local(&asked, key(3)?, at(9)), "told back");
+    ensure!(
+        index.record_local(&asked, key(1)?, at(25)),
+        "not told again"
+    );
     // A prompt that shares nothing is no news to anybody.
     let alone = Prompt {
         parts: vec![part(9)],
         ..Prompt::default()
     };
-    ensure!(!index.sent(&alone, key(1)?, at(0)), "told of its own part");
+    ensure!(
+        !index.record_local(&alone, key(1)?, at(0)),
+        "told of its own part"
+    );
     Ok(())
 }
 
@@ -75,7 +81,7 @@
     let index = Index::default();
     let now = Instant::now();
     for number in 0..PARTS + 500 {
-        index.told(number, key(1)?, now);
+        index.record_remote(number, key(1)?, now);
     }
     ensure!(index.len() == PARTS as usize, "{}", index.len());
     ensure!(index.holders(&part(0), now).is_empty(), "kept the oldest");
@@ -84,7 +90,7 @@
         "lost a new one"
     );
     for number in 0..100 {
-        index.told(PARTS, key(number)?, now);
+        index.record_remote(PARTS, key(number)?, now);
     }
     let holders = index.holders(&part(PARTS), now);
     ensure!(holders.len() <= 8, "{} holders", holders.len());
@@ -97,12 +103,12 @@
     let (knows, starts) = (Index::default(), Index::default());
     let start = Instant::now();
     let at = |after| start + Duration::from_secs(after);
-    knows.told(1, key(1)?, at(0));
-    knows.told(1, key(2)?, at(10));
-    knows.told(2, key(3)?, at(20));
+    knows.record_remote(1, key(1)?, at(0));
+    knows.record_remote(1, key(2)?, at(10));
+    knows.record_remote(2, key(3)?, at(20));
     // What it has learned itself meanwhile goes first.
-    starts.told(1, key(4)?, at(30));
-    starts.recall(&knows.kept(at(30)), at(30));
+    starts.record_remote(1, key(4)?, at(30));
+    starts.recall(&knows.export(at(30)), at(30));
     let expected = [key(4)?, key(2)?, key(1)?];
     let holders = starts.holders(&part(1), at(31));
     ensure!(holders == expected, "{holders:?}");
@@ -110,7 +116,7 @@
     // Entries are as old as they are there.
     let later = starts.holders(&part(1), at(62));
     ensure!(later == [key(4)?, key(2)?], "{later:?}");
-    ensure!(knows.kept(at(200)).is_empty(), "old entries are told");
+    ensure!(knows.export(at(200)).is_empty(), "old entries are told");
     Ok(())
 }
 
@@ -118,15 +124,15 @@
 fn each_reader_of_a_log_gets_what_it_has_not_got() -> Result {
     let log = Log::default();
     let server = key(1)?;
-    let row = |part| Row { part, server };
+    let row = |part| Placement { part, server };
     let all = |_: Option<&Peer>| true;
-    let News { rows, place, .. } = log.since(Position::default(), 10, all);
+    let Batch { rows, place, .. } = log.since(Position::default(), 10, all);
     ensure!(rows.is_empty(), "{rows:?}");
     log.push(row(1), None);
     log.push(row(2), Some(Peer::Member(4)));
     let news = log.since(place, 10, all);
     ensure!(news.rows == [row(1), row(2)], "{news:?}");
-    ensure!(news.untold == 0, "{news:?}");
+    ensure!(news.omitted == 0, "{news:?}");
     let next = news.place;
     let rows = log.since(next, 10, all).rows;
     ensure!(rows.is_empty(), "told twice: {rows:?}");
@@ -141,7 +147,7 @@
     let news = log.since(next, 2, all);
     let last = 2 + 2 * ROWS;
     ensure!(news.rows == [row(last - 1), row(last)], "{news:?}");
-    ensure!(u64::from(news.untold) == 2 * ROWS - 2, "{news:?}");
+    ensure!(u64::from(news.omitted) == 2 * ROWS - 2, "{news:?}");
     let end = news.place;
     ensure!(log.since(end, 2, all).rows.is_empty(), "told twice");
     // A place in a log of another life counts as none.
@@ -157,10 +163,10 @@
     let share = |known: u32, told: usize, untold: u32| {
         let coverage = Coverage::default();
         for number in 0..1_000 {
-            coverage.placed(number * 37 % 100 < known);
-            coverage.heard(told, untold);
+            coverage.record_prompt(number * 37 % 100 < known);
+            coverage.record_message(told, untold);
         }
-        coverage.asked_before()
+        coverage.seen_before()
     };
     // All is told: what is not known is new, be that much or little.
     for known in [5, 50, 95] {
@@ -174,7 +180,7 @@
     ensure!(sparse < 0.15, "{sparse}");
     // Before anything was heard, nothing is expected.
     ensure!(
-        Coverage::default().asked_before() == 0.0,
+        Coverage::default().seen_before() == 0.0,
         "expects something"
     );
     Ok(())
--- a/crates/relay/tests/relay/keys.rs
+++ b/crates/relay/tests/relay/keys.rs
@@ -8,8 +8,11 @@
 use tidepier_relay_standin::site::Site;
 use tidepier_relay_standin::store::Down;
 
-use crate::hall::{keyed, with_key};
-use crate::house::{self, ms, post, promised, run, usual, whole, Executor, House, Result};
+use crate::box_harness::{site_with_keys, with_key};
+use crate::harness::{
+    self, ensure_not_executed, ensure_served_by, ms, post, run, server_settings, Executor, Harness,
+    Result,
+};
 
 /// The bound on keys in these tests. Longer than the time between two proofs
 /// of the router, or no key would be served steadily.
@@ -17,8 +20,8 @@
 /// The bound on changes.
 const APPLY_TIME: Duration = Duration::from_millis(2_000);
 
-async fn open(executor: Executor, site: Site, blind: bool) -> Result<House> {
-    House::with(executor, site, |settings| {
+async fn open(executor: Executor, site: Site, blind: bool) -> Result<Harness> {
+    Harness::start_with_settings(executor, site, |settings| {
         settings["bounds"]["revoke_within"] = (REVOKE_TIME.as_millis() as u64).into();
         settings["bounds"]["apply_within"] = (APPLY_TIME.as_millis() as u64).into();
         settings["bounds"]["revoke_when_blind"] = blind.into();
@@ -29,8 +32,8 @@
 #[test]
 fn unknown_routes_and_keys_are_told() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let server = site.server(usual(1))?;
+        let site = site_with_keys()?;
+        let server = site.server(server_settings(1))?;
         let house = open(executor, site, true).await?;
         let other_host = post("/r/x", "host").with("Host", "other.example");
         for (call, status) in [
@@ -46,15 +49,15 @@
         }
         ensure!(server.runs().is_empty(), "a refused request was sent");
         let answer = house.call(&with_key("stays", "known")).await?;
-        whole(&answer, &[&server], "known")
+        ensure_served_by(&answer, &[&server], "known")
     })
 }
 
 #[test]
 fn nothing_is_called_missing_by_an_old_catalog() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let server = site.server(usual(1))?;
+        let site = site_with_keys()?;
+        let server = site.server(server_settings(1))?;
         let house = open(executor, site, false).await?;
         house
             .site
@@ -62,14 +65,14 @@
             .faults(|faults| faults.down = Some(Down::Reset));
         Timer::after(APPLY_TIME + ms(100)).await;
         for call in [post("/nowhere/x", "path"), with_key("unknown", "key")] {
-            promised(&house.call(&call).await?)?;
+            ensure_not_executed(&house.call(&call).await?)?;
         }
         // What is known goes on.
-        whole(&house.post("/r/x", "known").await?, &[&server], "known")?;
+        ensure_served_by(&house.post("/r/x", "known").await?, &[&server], "known")?;
         let answer = house.call(&with_key("stays", "key-known")).await?;
-        whole(&answer, &[&server], "key-known")?;
+        ensure_served_by(&answer, &[&server], "key-known")?;
         house.site.store.faults(|faults| faults.down = None);
-        house::until("told again", async || {
+        harness::wait_until("told again", async || {
             Ok(house.post("/nowhere/x", "again").await?.status == 404)
         })
         .await
@@ -79,8 +82,8 @@
 /// Takes a key away and `harms` the store at once; the key has to be refused
 /// within the bound, and the other one served again in the end.
 async fn revoked(executor: Executor, harm: impl FnOnce(&Site), seen: bool) -> Result {
-    let site = keyed()?;
-    let server = site.server(usual(1))?;
+    let site = site_with_keys()?;
+    let server = site.server(server_settings(1))?;
     let house = open(executor, site, true).await?;
     harm(&house.site);
     let gone = Instant::now();
@@ -95,12 +98,12 @@
             ensure!(matches!(answer.status, 401 | 503), "{answer:?}");
             ensure!(server.ran(&attempt) == 0, "{attempt} ran");
             if !seen {
-                promised(&answer)?;
+                ensure_not_executed(&answer)?;
             }
         }
         // Public routes need no key and go on.
         let attempt = format!("public-{number}");
-        whole(&house.post("/r/x", &attempt).await?, &[&server], &attempt)?;
+        ensure_served_by(&house.post("/r/x", &attempt).await?, &[&server], &attempt)?;
         Timer::after(ms(40)).await;
     }
     if !seen {
@@ -108,14 +111,14 @@
     }
     house.site.store.faults(|faults| faults.down = None);
     house.site.store.faults(|faults| faults.refuse = false);
-    house::until("back", async || {
+    harness::wait_until("back", async || {
         let answer = house.call(&with_key("new", "back")).await?;
         Ok(answer.status == 200)
     })
     .await?;
     let answer = house.call(&with_key("goes", "after")).await?;
     ensure!(answer.status == 401, "{answer:?}");
-    house::until("ready", async || Ok(house.is_ready().await)).await
+    harness::wait_until("ready", async || Ok(house.is_ready().await)).await
 }
 
 #[test]
@@ -175,14 +178,14 @@
 #[test]
 fn a_key_that_was_taken_away_is_refused_in_time() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let _server = site.server(usual(1))?;
+        let site = site_with_keys()?;
+        let _server = site.server(server_settings(1))?;
         let house = open(executor, site, true).await?;
         let answer = house.call(&with_key("goes", "before")).await?;
         ensure!(answer.status == 200, "{answer:?}");
         let gone = Instant::now();
         house.site.account("tenant-2", &[], 1);
-        house::until("refused", async || {
+        harness::wait_until("refused", async || {
             let answer = house.call(&with_key("goes", "after")).await?;
             ensure!(answer.status == 200 || answer.status == 401, "{answer:?}");
             Ok(answer.status == 401)
@@ -196,8 +199,8 @@
 #[test]
 fn keys_are_served_while_all_answers_to_writes_are_lost() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let server = site.server(usual(1))?;
+        let site = site_with_keys()?;
+        let server = site.server(server_settings(1))?;
         let house = open(executor, site, true).await?;
         house.site.store.faults(|faults| faults.lost = u32::MAX);
         let start = Instant::now();
@@ -206,7 +209,7 @@
             number += 1;
             let attempt = format!("stays-{number}");
             let answer = house.call(&with_key("stays", &attempt)).await?;
-            whole(&answer, &[&server], &attempt)?;
+            ensure_served_by(&answer, &[&server], &attempt)?;
             Timer::after(ms(50)).await;
         }
         Ok(())
--- a/crates/relay/tests/relay/leaving.rs
+++ b/crates/relay/tests/relay/leaving.rs
@@ -15,22 +15,29 @@
 use tidepier_core::answer::Answer;
 use tidepier_core::server::State;
 use tidepier_ids as ids;
-use tidepier_relay::fleet::word::Withheld;
+use tidepier_relay::fleet::advertisement::Ineligible;
 use tidepier_relay_standin::names;
 use tidepier_relay_standin::server::{Fault, Server};
 use tidepier_relay_standin::site::Site;
 use tidepier_relay_standin::store::Down;
 
-use crate::desk::{self, id, Desk};
-use crate::house::{
-    ms, pair, post, promised, run, single, site, streaming, until, usual, whole, House, Result,
+use crate::choice_harness::{self, id, ChoiceHarness};
+use crate::harness::{
+    ensure_not_executed, ensure_served_by, ms, post, run, server_settings, site,
+    start_with_one_server, start_with_two_servers, stream_server_settings, wait_until, Harness,
+    Result,
 };
 
 /// Time after an answer that said so from which the server gets nothing of the box.
 const LEAVE_TIME: Duration = Duration::from_millis(2_000);
 
 /// Sends requests of all kinds in turn for so long; all are to be answered whole.
-pub(crate) async fn ask(house: &House, servers: &[&Server], name: &str, time: Duration) -> Result {
+pub(crate) async fn ask(
+    house: &Harness,
+    servers: &[&Server],
+    name: &str,
+    time: Duration,
+) -> Result {
     let start = Instant::now();
     for number in 0.. {
         if start.elapsed() > time {
@@ -38,7 +45,7 @@
         }
         let attempt = format!("{name}-{number}");
         let target = ["/r/x", "/o/x"][number % 2];
-        whole(&house.post(target, &attempt).await?, servers, &attempt)?;
+        ensure_served_by(&house.post(target, &attempt).await?, servers, &attempt)?;
         Timer::after(ms(10)).await;
     }
     Ok(())
@@ -53,7 +60,7 @@
 #[test]
 fn a_server_whose_answers_say_that_it_leaves_gets_nothing_more() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor).await?;
+        let (near, far, house) = start_with_two_servers(executor).await?;
         ask(&house, &[&near, &far], "before", ms(300)).await?;
         house
             .site
@@ -73,16 +80,16 @@
 fn after(target: &'static str, wrong: Option<Fault>) -> Result {
     run(async |executor| {
         let site = site()?;
-        let leaves = site.server(usual(1))?;
-        let house = House::open(executor, site).await?;
+        let leaves = site.server(server_settings(1))?;
+        let house = Harness::start_ready(executor, site).await?;
         house.post("/o/x", "before").await?;
-        let stays = house.site.server(usual(2))?;
-        until("known", async || Ok(house.knows(&stays))).await?;
+        let stays = house.site.server(server_settings(2))?;
+        wait_until("known", async || Ok(house.knows(&stays))).await?;
         leaves.leave(true);
         if let Some(fault) = wrong {
             leaves.fault(fault, 1);
         }
-        until("asked", async || {
+        wait_until("asked", async || {
             house
                 .post(target, &format!("word-{}", leaves.runs().len()))
                 .await?;
@@ -132,11 +139,11 @@
 fn an_answer_whose_client_left_says_it() -> Result {
     run(async |executor| {
         let site = site()?;
-        let leaves = site.server(streaming(1, 40, ms(40)))?;
-        let stays = site.server(streaming(2, 2, ms(1)))?;
-        let house = House::open(executor, site).await?;
+        let leaves = site.server(stream_server_settings(1, 40, ms(40)))?;
+        let stays = site.server(stream_server_settings(2, 2, ms(1)))?;
+        let house = Harness::start_ready(executor, site).await?;
         leaves.leave(true);
-        until("asked", async || {
+        wait_until("asked", async || {
             let call = post("/u/x", &format!("left-{}", leaves.runs().len())).leaving(ms(200));
             house.call(&call).await?;
             Ok(!leaves.runs().is_empty())
@@ -145,7 +152,7 @@
         let told = Instant::now();
         for number in 0..20 {
             let answer = house.post("/u/x", &format!("after-{number}")).await?;
-            whole(&answer, &[&stays], &format!("after-{number}"))?;
+            ensure_served_by(&answer, &[&stays], &format!("after-{number}"))?;
         }
         ensure!(reached_after(&leaves, told) == 0, "sent after the word");
         Ok(())
@@ -157,23 +164,23 @@
 fn what_runs_at_a_server_that_says_it_ends_whole() -> Result {
     run(async |executor| {
         let site = site()?;
-        let leaves = site.server(usual(1))?;
-        let house = House::open(executor, site).await?;
+        let leaves = site.server(server_settings(1))?;
+        let house = Harness::start_ready(executor, site).await?;
         house.post("/o/x", "before").await?;
         leaves.slow(200.0);
         let test = async {
-            until("running", async || Ok(leaves.running() == 1)).await?;
+            wait_until("running", async || Ok(leaves.running() == 1)).await?;
             leaves.slow(1.0);
             leaves.leave(true);
             house.post("/o/x", "word").await?;
-            let stays = house.site.server(usual(2))?;
-            until("known", async || Ok(house.knows(&stays))).await?;
+            let stays = house.site.server(server_settings(2))?;
+            wait_until("known", async || Ok(house.knows(&stays))).await?;
             let answer = house.post("/o/x", "after").await?;
-            whole(&answer, &[&stays], "after")
+            ensure_served_by(&answer, &[&stays], "after")
         };
         let call = post("/o/x", "long");
         let (long, ()) = future::try_zip(house.call(&call), test).await?;
-        whole(&long, &[&leaves], "long")
+        ensure_served_by(&long, &[&leaves], "long")
     })
 }
 
@@ -182,12 +189,12 @@
 #[test]
 fn a_route_whose_servers_all_leave_is_refused_at_once() -> Result {
     run(async |executor| {
-        let (only, house) = single(executor).await?;
+        let (only, house) = start_with_one_server(executor).await?;
         only.leave(true);
-        whole(&house.post("/o/x", "word").await?, &[&only], "word")?;
+        ensure_served_by(&house.post("/o/x", "word").await?, &[&only], "word")?;
         for number in 0..5 {
             let answer = house.post("/r/x", &format!("after-{number}")).await?;
-            promised(&answer)?;
+            ensure_not_executed(&answer)?;
             ensure!(answer.elapsed < ms(200), "{:?}", answer.elapsed);
             let wait: f64 = answer.field(names::RETRY_AFTER).unwrap_or("0").parse()?;
             ensure!(wait >= 0.5, "come back after {wait} s");
@@ -203,16 +210,16 @@
 fn no_entry_of_the_same_life_takes_it_back() -> Result {
     run(async |executor| {
         let site = site()?;
-        let leaves = site.server(usual(1))?;
-        let stays = site.server(usual(2))?;
+        let leaves = site.server(server_settings(1))?;
+        let stays = site.server(server_settings(2))?;
         let born = |life: u64| move |entry: &mut serde_json::Value| entry["born"] = life.into();
         let announce = |site: &Site, life| {
             site.announce_with(&leaves, leaves.address(), State::Ready, born(life));
         };
         announce(&site, 7);
-        let house = House::open(executor, site).await?;
+        let house = Harness::start_ready(executor, site).await?;
         leaves.leave(true);
-        until("asked", async || {
+        wait_until("asked", async || {
             house
                 .post("/o/x", &format!("word-{}", stays.runs().len()))
                 .await?;
@@ -231,9 +238,9 @@
         Timer::after(ms(600)).await;
         ensure!(sends("again").await? == 0, "by an entry that says ready");
         house.site.withdraw(&leaves);
-        until("gone", async || Ok(!house.knows(&leaves))).await?;
+        wait_until("gone", async || Ok(!house.knows(&leaves))).await?;
         announce(&house.site, 7);
-        until("back", async || Ok(house.knows(&leaves))).await?;
+        wait_until("back", async || Ok(house.knows(&leaves))).await?;
         ensure!(sends("back").await? == 0, "by an entry that came back");
         house.site.store.compact();
         house.site.store.cut_watches();
@@ -243,22 +250,22 @@
         announce(&house.site, 8);
         // The other one is slow now, so that requests look for a place elsewhere.
         stays.slow(40.0);
-        until("new", async || Ok(sends("new").await? > 0)).await
+        wait_until("new", async || Ok(sends("new").await? > 0)).await
     })
 }
 
 /// The address was taken over: what answers there says of itself that it leaves.
 #[test]
 fn a_server_that_took_an_address_over_speaks_for_itself() -> Result {
-    let desk = Desk::new("hall-1", [1, 2])?;
+    let desk = ChoiceHarness::new("hall-1", [1, 2])?;
     let (asked, other): (ids::Server, ids::Server) = (id("i-1")?, id("i-9")?);
     let taker = tidepier_core::server::Server {
         id: other.clone(),
         address: desk.backend(&asked)?.server.address,
-        ..desk::server(9, State::Ready)?
+        ..choice_harness::server(9, State::Ready)?
     };
     desk.fleet.announce(taker, desk.start);
-    let serves = |id: &ids::Server| -> Result<bool> { Ok(desk.backend(id)?.serves()) };
+    let serves = |id: &ids::Server| -> Result<bool> { Ok(desk.backend(id)?.accepts_requests()) };
     let told = |status: u16, named: Option<&str>| -> Result<bool> {
         let answer = Answer {
             status,
@@ -269,7 +276,7 @@
         let asked = desk.backend(&asked)?;
         let said = desk
             .fleet
-            .hear(&asked, &answer, tidepier_clock::Instant::now());
+            .apply_answer(&asked, &answer, tidepier_clock::Instant::now());
         Ok(said.leaving)
     };
     ensure!(!told(421, None)?, "nobody is named");
@@ -293,7 +300,7 @@
 /// server to bear it, is not sent.
 #[test]
 fn what_waited_while_the_word_came_is_not_sent() -> Result {
-    let desk = Desk::new("hall-1", [1])?;
+    let desk = ChoiceHarness::new("hall-1", [1])?;
     let server = desk.backend(&id("i-1")?)?;
     let now = tidepier_clock::Instant::now();
     let permit = desk.fleet.permit(&server, now);
@@ -301,7 +308,7 @@
     ensure!(permit.renewed(now).is_ok(), "withheld at once");
     desk.drain(&id("i-1")?)?;
     ensure!(
-        permit.renewed(now) == Err(Withheld::Leaving),
+        permit.renewed(now) == Err(Ineligible::Leaving),
         "not withheld"
     );
     ensure!(desk.fleet.permit(&server, now).is_err(), "allowed again");
--- a/crates/relay/tests/relay/limits.rs
+++ b/crates/relay/tests/relay/limits.rs
@@ -11,7 +11,10 @@
 use tidepier_relay_standin::site::Route;
 use tidepier_relay_standin::Client;
 
-use crate::house::{self, ms, post, run, until, usual, whole, Executor, House, Result, SERVICE};
+use crate::harness::{
+    self, ensure_served_by, ms, post, run, server_settings, wait_until, Executor, Harness, Result,
+    SERVICE,
+};
 
 const HEAD_BYTES: usize = 2_000;
 const BODY_BYTES: usize = 20_000;
@@ -19,8 +22,8 @@
 /// Long, so that a busy machine keeps within four fifths of it.
 const IDLE_TIME: Duration = Duration::from_millis(2_000);
 
-async fn open(executor: Executor) -> Result<(House, Server)> {
-    let site = house::site()?;
+async fn open(executor: Executor) -> Result<(Harness, Server)> {
+    let site = harness::site()?;
     site.configure(|config| {
         config["limits"] = json!({
             "max_header_bytes": HEAD_BYTES, "max_body_bytes": BODY_BYTES,
@@ -28,8 +31,8 @@
             "idle_timeout_ms": IDLE_TIME.as_millis() as u64,
         });
     });
-    let server = site.server(usual(1))?;
-    Ok((House::open(executor, site).await?, server))
+    let server = site.server(server_settings(1))?;
+    Ok((Harness::start_ready(executor, site).await?, server))
 }
 
 fn refused(answer: &Answer, status: u16, server: &Server) -> Result {
@@ -48,7 +51,7 @@
             refused(&house.call(&call).await?, 431, &server)?;
         }
         let call = post("/r/x", "fits").with("X-Large", &"x".repeat(HEAD_BYTES - 400));
-        whole(&house.call(&call).await?, &[&server], "fits")
+        ensure_served_by(&house.call(&call).await?, &[&server], "fits")
     })
 }
 
@@ -63,7 +66,7 @@
         call.payload = Payload::Chunked(body.chunks(1_000).map(Into::into).collect());
         refused(&house.call(&call).await?, 413, &server)?;
         let call = post("/r/x", "fits").body(&body[1..]);
-        whole(&house.call(&call).await?, &[&server], "fits")
+        ensure_served_by(&house.call(&call).await?, &[&server], "fits")
     })
 }
 
@@ -71,7 +74,7 @@
 fn a_head_that_takes_too_long_is_refused() -> Result {
     run(async |executor| {
         let (house, server) = open(executor).await?;
-        let mut client = Client::open(house.front()).await?;
+        let mut client = Client::open(house.router_address()).await?;
         client.send(b"POST /r/x HTTP/1.1\r\nHost: si").await?;
         let answer = client.answer("POST", Duration::from_secs(4)).await;
         refused(&answer, 408, &server)?;
@@ -85,7 +88,7 @@
 fn a_body_that_stops_is_refused_without_a_run() -> Result {
     run(async |executor| {
         let (house, server) = open(executor).await?;
-        let mut client = Client::open(house.front()).await?;
+        let mut client = Client::open(house.router_address()).await?;
         let head = "POST /o/x HTTP/1.1\r\nHost: site.example\r\nAttempt-Id: a\r\n\
                     Content-Length: 100\r\n\r\nhalf";
         client.send(head.as_bytes()).await?;
@@ -98,13 +101,13 @@
 fn a_connection_that_rests_too_long_is_closed() -> Result {
     run(async |executor| {
         let (house, server) = open(executor).await?;
-        let mut client = Client::open(house.front()).await?;
+        let mut client = Client::open(house.router_address()).await?;
         let answer = client.call(&post("/r/x", "first")).await;
-        whole(&answer, &[&server], "first")?;
+        ensure_served_by(&answer, &[&server], "first")?;
         // Four fifths of the limit are what clients may rest.
         Timer::after(IDLE_TIME.mul_f64(0.8)).await;
         let answer = client.call(&post("/r/x", "second")).await;
-        whole(&answer, &[&server], "second")?;
+        ensure_served_by(&answer, &[&server], "second")?;
         Timer::after(IDLE_TIME + ms(900)).await;
         ensure!(!client.rests(), "still open");
         Ok(())
@@ -126,7 +129,7 @@
             "POST /r/x HTTP/1.1\r\nHost: site.example\r\n\r\n".into(),
             "\x16\x03\x01 nothing at all\r\n\r\n".into(),
         ] {
-            let mut client = Client::open(house.front()).await?;
+            let mut client = Client::open(house.router_address()).await?;
             client.send(head.as_bytes()).await?;
             let answer = client.answer("POST", Duration::from_secs(4)).await;
             ensure!(answer.status == 400, "{head:?}: {answer:?}");
@@ -146,7 +149,7 @@
             call.fields
                 .retain(|(name, _)| !name.eq_ignore_ascii_case("Deadline-Ms"));
             let call = call.with("Deadline-Ms", far);
-            whole(&house.call(&call).await?, &[&server], &attempt)?;
+            ensure_served_by(&house.call(&call).await?, &[&server], &attempt)?;
         }
         Ok(())
     })
@@ -154,8 +157,8 @@
 
 /// Sends a head, then a byte of the body at a time until an answer comes or
 /// `count` are sent.
-async fn dribble(house: &House, head: &str, count: usize, pause: Duration) -> Result<Answer> {
-    let mut client = Client::open(house.front()).await?;
+async fn dribble(house: &Harness, head: &str, count: usize, pause: Duration) -> Result<Answer> {
+    let mut client = Client::open(house.router_address()).await?;
     client.send(head.as_bytes()).await?;
     for _ in 0..count {
         Timer::after(pause).await;
@@ -189,7 +192,7 @@
             ..Route::new("/t/", Kind::Repeatable, SERVICE)
         };
         house.site.declare(&[short]);
-        until("declared", async || {
+        wait_until("declared", async || {
             Ok(house.post("/t/x", "probe").await?.status == 200)
         })
         .await?;
@@ -215,26 +218,26 @@
         let mut call = post("/r/x", "slow");
         call.payload = Payload::Chunked(vec![b"piece".to_vec(); 8]);
         call.pause = ms(200);
-        whole(&house.call(&call).await?, &[&server], "slow")
+        ensure_served_by(&house.call(&call).await?, &[&server], "slow")
     })
 }
 
 #[test]
 fn clients_beyond_the_descriptors_wait_for_others() -> Result {
     run(async |executor| {
-        let site = house::site()?;
-        let server = site.server(usual(1))?;
-        let house = House::with(executor, site, |settings| {
+        let site = harness::site()?;
+        let server = site.server(server_settings(1))?;
+        let house = Harness::start_with_settings(executor, site, |settings| {
             // For 20 clients.
             settings["limits"]["descriptors"] = 120.into();
         })
         .await?;
-        let mut first = Client::open(house.front()).await?;
+        let mut first = Client::open(house.router_address()).await?;
         let mut others = Vec::new();
         for _ in 1..20 {
-            others.push(Client::open(house.front()).await?);
+            others.push(Client::open(house.router_address()).await?);
         }
-        until("taken", async || {
+        wait_until("taken", async || {
             Ok(house.router.relay().stop.connections() == 20)
         })
         .await?;
@@ -244,14 +247,14 @@
         ensure!(server.runs().is_empty(), "more clients than descriptors");
         // Who has a connection is served, and gives it up.
         let answer = first.call(&post("/r/x", "first")).await;
-        whole(&answer, &[&server], "first")?;
+        ensure_served_by(&answer, &[&server], "first")?;
         ensure!(answer.field("Connection") == Some("close"), "{answer:?}");
         drop(others);
         let answer = house.post("/r/x", "next").await?;
-        whole(&answer, &[&server], "next")?;
-        let mut kept = Client::open(house.front()).await?;
+        ensure_served_by(&answer, &[&server], "next")?;
+        let mut kept = Client::open(house.router_address()).await?;
         let answer = kept.call(&post("/r/x", "kept")).await;
         ensure!(answer.field("Connection").is_none(), "{answer:?}");
-        whole(&answer, &[&server], "kept")
+        ensure_served_by(&answer, &[&server], "kept")
     })
 }
--- a/crates/relay/tests/relay/lives.rs
+++ b/crates/relay/tests/relay/lives.rs
@@ -7,22 +7,25 @@
 use eyre::{ensure, eyre};
 use tidepier_clock::Instant;
 use tidepier_core::era::Revision;
-use tidepier_core::server::{Birth, Server, State};
-use tidepier_relay::emptied::List;
+use tidepier_core::server::{Server, StartTime, State};
+use tidepier_relay::emptied_halls::List;
 use tidepier_relay::fleet::{Change, Fleet};
 use tidepier_relay::health::Outcome;
 use tidepier_relay::message::follow::{Answer, Position, Row, Servers};
 use tidepier_relay::message::VERSION;
 use tidepier_relay_standin::server::Fault;
 
-use crate::desk::{prompt, server, Desk, LARGE};
-use crate::hall::started;
-use crate::house::{ms, pair, post, ran, run, site, until, usual, whole, Result, SERVICE};
-use crate::told::follower;
+use crate::box_harness::started;
+use crate::choice_harness::{prompt, server, ChoiceHarness, LARGE};
+use crate::harness::{
+    count_runs, ensure_served_by, ms, post, run, server_settings, site, start_with_two_servers,
+    wait_until, Result, SERVICE,
+};
+use crate::peer_answers::follower;
 
 fn born(number: u16, birth: Option<u64>) -> Result<Server> {
     Ok(Server {
-        born: birth.map(Birth),
+        born: birth.map(StartTime),
         ..server(number, State::Ready)?
     })
 }
@@ -31,7 +34,7 @@
 /// old life.
 #[test]
 fn a_new_life_knows_nothing_of_the_old_one() -> Result {
-    let desk = Desk::new("hall-1", [])?;
+    let desk = ChoiceHarness::new("hall-1", [])?;
     let now = Instant::now();
     for number in 1..4 {
         desk.fleet.announce(born(number, Some(10))?, now);
@@ -40,13 +43,13 @@
     let old = desk.send(&prompt)?;
     let id = old.server.id.clone();
     ensure!(
-        desk.places(&prompt).lacking(old.key).tokens() == 0.0,
+        desk.places(&prompt).missing_tokens(old.key).tokens() == 0.0,
         "not kept"
     );
-    old.record(Outcome::Silent, now);
+    old.record(Outcome::Unresponsive, now);
     let running = old.run(100);
     let again = Server {
-        born: Some(Birth(9)),
+        born: Some(StartTime(9)),
         cold: Duration::from_secs(3),
         ..old.server.clone()
     };
@@ -58,13 +61,19 @@
     let new = desk.backend(&id)?;
     ensure!(!Rc::ptr_eq(&old, &new), "the same life");
     ensure!(
-        new.own() == 0 && new.health.is_sound(),
+        new.in_flight() == 0 && new.health.last_succeeded(),
         "counted for the new life"
     );
-    ensure!(!old.serves() && new.serves(), "the old one serves");
+    ensure!(
+        !old.accepts_requests() && new.accepts_requests(),
+        "the old one serves"
+    );
     ensure!(new.cold_left(now) == Duration::from_secs(3), "warm");
-    let lacks = desk.places(&prompt).lacking(new.key);
-    ensure!(lacks.unproven == LARGE, "still thought to keep {lacks:?}");
+    let lacks = desk.places(&prompt).missing_tokens(new.key);
+    ensure!(
+        lacks.unconfirmed == LARGE,
+        "still thought to keep {lacks:?}"
+    );
     drop(running);
     ensure!(
         desk.fleet.announce(again, now) == Change::None,
@@ -85,7 +94,10 @@
         fleet.announce(born(number, second)?, now);
         let after = fleet.get(&id).ok_or_else(|| eyre!("gone"))?;
         ensure!(Rc::ptr_eq(&before, &after), "{first:?} then {second:?}");
-        ensure!(after.born() == first.or(second).map(Birth), "not learned");
+        ensure!(
+            after.born() == first.or(second).map(StartTime),
+            "not learned"
+        );
         let later = born(number, Some(6))?;
         if first.or(second).is_some() {
             ensure!(
@@ -100,7 +112,7 @@
 fn row(birth: Option<u64>, revision: u64, state: State) -> Result<Row> {
     let server = Server {
         id: "i-1".parse()?,
-        born: birth.map(Birth),
+        born: birth.map(StartTime),
         service: SERVICE.parse()?,
         address: SocketAddr::from(([127, 0, 0, 1], 4_000)),
         hall: "hall-1".parse()?,
@@ -138,16 +150,19 @@
     let id = "i-1".parse()?;
     let life = || -> Result<_> {
         let known = relay.fleet.get(&id).ok_or_else(|| eyre!("unknown"))?;
-        Ok((known.born(), known.serves()))
+        Ok((known.born(), known.accepts_requests()))
     };
-    let hear = |answer| follower.take_answer(answer, None, Instant::now());
+    let hear = |answer| follower.apply_answer(answer, None, Instant::now());
     hear(told(vec![row(Some(7), 10, State::Ready)?], 10))?;
     hear(told(vec![row(Some(9), 20, State::Ready)?], 20))?;
-    ensure!(life()? == (Some(Birth(9)), true), "not taken over");
+    ensure!(life()? == (Some(StartTime(9)), true), "not taken over");
     hear(told(vec![row(Some(7), 10, State::Ready)?], 12))?;
     hear(told(vec![row(Some(7), 15, State::Draining)?], 15))?;
     hear(told(vec![], 18))?;
-    ensure!(life()? == (Some(Birth(9)), true), "the old life is back");
+    ensure!(
+        life()? == (Some(StartTime(9)), true),
+        "the old life is back"
+    );
     Ok(())
 }
 
@@ -189,7 +204,7 @@
         emptied: None,
         ..told(vec![], 1)
     };
-    let taken = follower.take_answer(answer, None, Instant::now());
+    let taken = follower.apply_answer(answer, None, Instant::now());
     ensure!(taken.is_err() && relay.view.age().is_none(), "believed");
     Ok(())
 }
@@ -198,7 +213,7 @@
 fn boxes_tell_each_other_of_lives_and_of_the_cold() -> Result {
     run(async |executor| {
         let site = site()?;
-        let server = site.server(usual(1))?;
+        let server = site.server(server_settings(1))?;
         let machines = started(&executor, &site, 2).await?;
         let id = server.settings().id.parse()?;
         site.announce_with(&server, server.address(), State::Ready, |entry| {
@@ -207,7 +222,7 @@
         });
         for machine in &machines {
             let fleet = &machine.router.relay().fleet;
-            until("told", async || {
+            wait_until("told", async || {
                 let known = fleet.get(&id);
                 Ok(known.is_some_and(|it| it.cold_left(Instant::now()) > ms(55_000)))
             })
@@ -218,13 +233,13 @@
         });
         for machine in &machines {
             let fleet = &machine.router.relay().fleet;
-            until("restarted", async || {
+            wait_until("restarted", async || {
                 let known = fleet.get(&id).ok_or_else(|| eyre!("gone"))?;
                 let warm = known.cold_left(Instant::now()).is_zero();
-                Ok(known.born() == Some(Birth(1_760_000_000_777)) && warm)
+                Ok(known.born() == Some(StartTime(1_760_000_000_777)) && warm)
             })
             .await?;
-            whole(
+            ensure_served_by(
                 &machine.call(&post("/r/x", &machine.name)).await?,
                 &[&server],
                 &machine.name,
@@ -239,7 +254,7 @@
 #[test]
 fn a_new_life_does_not_repeat_what_runs_once() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor.clone()).await?;
+        let (near, far, house) = start_with_two_servers(executor.clone()).await?;
         let entry = |birth: u64| {
             house
                 .site
@@ -251,20 +266,22 @@
         let id = near.settings().id.parse()?;
         let fleet = &house.router.relay().fleet;
         near.fault(Fault::Hang, u32::MAX);
-        let front = house.front();
+        let front = house.router_address();
         let call = post("/o/x", "once").leaving(ms(1_500));
         let sent =
             executor.spawn(async move { tidepier_relay_standin::Client::once(front, &call).await });
-        until("sent", async || Ok(near.running() == 1)).await?;
+        wait_until("sent", async || Ok(near.running() == 1)).await?;
         entry(2);
-        until("restarted", async || {
-            Ok(fleet.get(&id).is_some_and(|it| it.born() == Some(Birth(2))))
+        wait_until("restarted", async || {
+            Ok(fleet
+                .get(&id)
+                .is_some_and(|it| it.born() == Some(StartTime(2))))
         })
         .await?;
         near.crash();
         let answer = sent.await?;
         ensure!(answer.status != 200, "{answer:?}");
-        ensure!(ran(&[&near, &far], "once") == 1, "run again");
+        ensure!(count_runs(&[&near, &far], "once") == 1, "run again");
         Ok(())
     })
 }
--- a/crates/relay/tests/relay/load.rs
+++ b/crates/relay/tests/relay/load.rs
@@ -15,8 +15,8 @@
 use tidepier_relay_standin::site::Site;
 use tidepier_relay_standin::Client;
 
-use crate::hall::{self, Machine};
-use crate::house::{ms, post, run, streaming, whole, Executor, Result};
+use crate::box_harness::{self, TestBox};
+use crate::harness::{ensure_served_by, ms, post, run, stream_server_settings, Executor, Result};
 
 /// Engines.
 const ENGINES: u32 = 8;
@@ -54,7 +54,7 @@
 /// A site whose engines can copy prompts from each other, as measured ones do:
 /// 0.007 ms a token.
 pub(crate) fn engines_site() -> Result<Site> {
-    let site = hall::keyed()?;
+    let site = box_harness::site_with_keys()?;
     site.configure(|config| {
         config["services"][0]["engine"] = json!({
             "slots": 64, "kv_capacity": 363_000, "kv_bytes": 327_680,
@@ -70,7 +70,7 @@
         slots: 64,
         queue: 64,
         prefill: READ,
-        ..streaming(number, EVENTS, PAUSE)
+        ..stream_server_settings(number, EVENTS, PAUSE)
     }
 }
 
@@ -118,13 +118,13 @@
 }
 
 /// Sends requests through all boxes by turns, at a steady pace.
-async fn sent(executor: &Executor, machines: &[Machine], hot: usize) -> Result<Vec<Answer>> {
+async fn sent(executor: &Executor, machines: &[TestBox], hot: usize) -> Result<Vec<Answer>> {
     let mut calls: Vec<Task<std::io::Result<Answer>>> = Vec::new();
     let start = Instant::now();
     let mut at = start;
     while at < start + CALM {
         let number = calls.len();
-        let front = machines[number % machines.len()].router.callers();
+        let front = machines[number % machines.len()].router.client_address();
         let call = call(number, hot);
         calls.push(executor.spawn(async move { Client::once(front, &call).await }));
         at += GAP;
@@ -150,14 +150,14 @@
             ("box-1", "hall-1"),
             ("box-2", "hall-2"),
         ] {
-            machines.push(Machine::start(&executor, &site, name, hall, 1_000).await?);
+            machines.push(TestBox::start(&executor, &site, name, hall, 1_000).await?);
         }
-        hall::ready(&machines).await?;
+        box_harness::ready(&machines).await?;
         let start = Instant::now();
         let answers = sent(&executor, &machines, hot).await?;
         let known: Vec<&Server> = engines.iter().collect();
         for (number, answer) in answers.iter().enumerate() {
-            whole(answer, &known, &format!("{number}"))?;
+            ensure_served_by(answer, &known, &format!("{number}"))?;
         }
         let arrivals = arrivals(&engines);
         let exceeding: Vec<&Arrival> = arrivals.iter().filter(|it| it.exceeds()).collect();
@@ -187,7 +187,7 @@
 
 #[test]
 fn a_very_hot_subject_is_spread_though_each_engine_reads_it() -> Result {
-    spread(hall::keyed, VERY_HOT)
+    spread(box_harness::site_with_keys, VERY_HOT)
 }
 
 #[test]
@@ -195,8 +195,8 @@
     run(async |executor| {
         let site = engines_site()?;
         let engines = [site.server(engine(1))?, site.server(engine(2))?];
-        let machine = Machine::start(&executor, &site, "box-0", "hall-1", 1_000).await?;
-        hall::ready(std::slice::from_ref(&machine)).await?;
+        let machine = TestBox::start(&executor, &site, "box-0", "hall-1", 1_000).await?;
+        box_harness::ready(std::slice::from_ref(&machine)).await?;
         for (number, engine) in engines.iter().enumerate() {
             // Two requests at once and one after them, past the router.
             let front = engine.address();
--- a/crates/relay/tests/relay/logged.rs
+++ b/crates/relay/tests/relay/logged.rs
@@ -5,7 +5,7 @@
 use eyre::{bail, ensure, eyre};
 use log::{Level, LevelFilter, Log, Metadata, Record};
 
-use crate::house::{run, site, until, usual, House, Result, SERVICE};
+use crate::harness::{run, server_settings, site, wait_until, Harness, Result, SERVICE};
 
 /// Lines of all tests that run in this process.
 #[derive(Default)]
@@ -43,18 +43,18 @@
     run(async |executor| {
         let lines = lines();
         let site = site()?;
-        let _stays = site.server(usual(1))?;
-        let mut settings = usual(2);
+        let _stays = site.server(server_settings(1))?;
+        let mut settings = server_settings(2);
         settings.id = "i-logged".into();
         let gone = site.server(settings)?;
-        let house = House::open(executor, site).await?;
+        let house = Harness::start_ready(executor, site).await?;
         house.site.withdraw(&gone);
         let told = || {
             let lines = lines.0.lock().expect("lines");
             let of_it = |line: &&String| line.contains("change=Gone id=i-logged ");
             lines.iter().find(of_it).cloned()
         };
-        until("logged", async || Ok(told().is_some())).await?;
+        wait_until("logged", async || Ok(told().is_some())).await?;
         let line = told().ok_or_else(|| eyre!("no line"))?;
         let expected = format!("service={SERVICE} hall=hall-2 revision=");
         ensure!(line.contains(&expected), "{line}");
@@ -70,18 +70,18 @@
         let ids: Vec<String> = (1..=5).map(|number| format!("i-bulk-{number}")).collect();
         let mut servers = Vec::new();
         for (number, id) in (1..).zip(&ids) {
-            let mut settings = usual(number);
+            let mut settings = server_settings(number);
             settings.id = id.clone();
             servers.push(site.server(settings)?);
         }
-        let _house = House::open(executor, site).await?;
+        let _house = Harness::start_ready(executor, site).await?;
         let joined = || {
             let lines = lines.0.lock().expect("lines");
             let of_them = lines.iter().filter(|line| line.contains("i-bulk-"));
             let joined = of_them.filter(|line| line.contains("change=Joined"));
             joined.cloned().collect::<Vec<String>>()
         };
-        until("logged", async || Ok(!joined().is_empty())).await?;
+        wait_until("logged", async || Ok(!joined().is_empty())).await?;
         let joined = joined();
         let [line] = joined.as_slice() else {
             bail!("{joined:?}");
--- a/crates/relay/tests/relay/losses.rs
+++ b/crates/relay/tests/relay/losses.rs
@@ -9,7 +9,7 @@
 use eyre::ensure;
 use tidepier_core::catalog::Cold;
 
-use crate::house::Result;
+use crate::harness::Result;
 use crate::sim::{Outcome, Plan, Sim};
 
 /// Time for which the entries of servers that crashed still stand.
--- a/crates/relay/tests/relay/told.rs
+++ b/crates/relay/tests/relay/peer_answers.rs
@@ -10,36 +10,36 @@
 use tidepier_core::era::{Era, Revision};
 use tidepier_core::server::{Server, State};
 use tidepier_platform::store::Client;
-use tidepier_relay::budget::{Budget, Terms};
-use tidepier_relay::emptied::List;
+use tidepier_relay::budget::{Budget, Limits};
+use tidepier_relay::emptied_halls::List;
 use tidepier_relay::follow::Follower;
 use tidepier_relay::health::Outcome;
 use tidepier_relay::message::follow::{
-    Answer, Ask, Change, More, Position, Row, Servers, Standing,
+    Answer, Change, Options, Position, Request, Row, Servers, Status,
 };
 use tidepier_relay::message::link::Error;
 use tidepier_relay::message::VERSION;
 use tidepier_relay::relay::{Bounds, Relay};
 
-use crate::hall::{APPLY_TIME, REVOKE_TIME};
-use crate::house::{ms, Result, SERVICE};
+use crate::box_harness::{APPLY_TIME, REVOKE_TIME};
+use crate::harness::{ms, Result, SERVICE};
 
 /// What a box without any task knows.
 pub(crate) fn relay() -> Result<Rc<Relay>> {
-    let terms = Terms {
+    let terms = Limits {
         ratio: 0.1,
         extra: 0.0,
         window: Duration::from_secs(10),
     };
     let bounds = Bounds {
-        fresh: APPLY_TIME,
-        confirm: APPLY_TIME,
+        catalog_max_age: APPLY_TIME,
+        confirm_within: APPLY_TIME,
         cold_overage: 1.0,
         cold_tolerance: 0.0,
-        trusted: Some(REVOKE_TIME),
-        contact: Duration::from_millis(3_000),
-        rewrite: REVOKE_TIME,
-        silence: Duration::from_millis(4_800),
+        key_max_age: Some(REVOKE_TIME),
+        grace_period: Duration::from_millis(3_000),
+        rewrite_within: REVOKE_TIME,
+        entry_ttl: Duration::from_millis(4_800),
         crowd_factor: 2.0,
         exposure: 0.1,
         rollback: Duration::from_secs(5),
@@ -94,7 +94,7 @@
         document_bytes,
         ..told
     };
-    Ok(follower.take_answer(told, entry, asked)?)
+    Ok(follower.apply_answer(told, entry, asked)?)
 }
 
 /// An answer of a box that vouches for it.
@@ -144,8 +144,11 @@
     let age = relay.view.age_at(asked + ms(100));
     ensure!(age == Some(ms(110)), "{age:?}");
     // It is passed on no younger, and not at all when it is too old.
-    ensure!(follower.proven_age(asked + ms(100)) == age, "passed on");
-    ensure!(follower.proven_age(asked + APPLY_TIME).is_none(), "too old");
+    ensure!(follower.shareable_age(asked + ms(100)) == age, "passed on");
+    ensure!(
+        follower.shareable_age(asked + APPLY_TIME).is_none(),
+        "too old"
+    );
     Ok(())
 }
 
@@ -215,12 +218,12 @@
 
 /// What a box of an older form is told that knows this revision.
 fn document_after(follower: &Follower, known: u64) -> (u64, Option<Rc<[u8]>>) {
-    let ask = Ask {
+    let ask = Request {
         version: VERSION,
         number: 1,
         document: known,
         position: Position::default(),
-        more: None,
+        options: None,
     };
     (follower.revision().number(), follower.document_for(&ask))
 }
@@ -258,8 +261,12 @@
     ensure!(known(&relay, "i-1")? && known(&relay, "i-2")?, "not taken");
     let (_, place) = follower.record().since(Position::default());
     let drains = row_of("i-2", 6, State::Draining)?;
-    let gone = Change::Gone("i-1".parse()?, Revision::of(7));
-    let changes = vec![Change::Is(drains), gone, Change::Is(row("i-3", 8)?)];
+    let gone = Change::Removed("i-1".parse()?, Revision::of(7));
+    let changes = vec![
+        Change::Upserted(drains),
+        gone,
+        Change::Upserted(row("i-3", 8)?),
+    ];
     tell(Servers::Changes(changes.clone()))?;
     let service = SERVICE.parse()?;
     let serving = relay.fleet.serving(&service);
@@ -287,11 +294,11 @@
         vec![row("i-1", 3)?, row("i-2", 4)?],
         Revision::of(5),
     ))?;
-    tell(Servers::Changes(vec![Change::Gone(
+    tell(Servers::Changes(vec![Change::Removed(
         "i-1".parse()?,
         Revision::of(8),
     )]))?;
-    let again = Change::Is(row("i-1", 3)?);
+    let again = Change::Upserted(row("i-1", 3)?);
     tell(Servers::All(
         vec![row("i-1", 3)?, row("i-2", 4)?],
         Revision::of(12),
@@ -300,7 +307,7 @@
     tell(Servers::Changes(vec![again]))?;
     ensure!(!known(&relay, "i-1")?, "brought back by a change");
     // A newer entry of the same id is another matter.
-    tell(Servers::Changes(vec![Change::Is(row("i-1", 13)?)]))?;
+    tell(Servers::Changes(vec![Change::Upserted(row("i-1", 13)?)]))?;
     ensure!(known(&relay, "i-1")?, "not taken though newer");
     Ok(())
 }
@@ -311,7 +318,7 @@
     let asked = Instant::now();
     let tell = |servers| take(&follower, told(0, 0, servers), None, asked);
     tell(Servers::All(vec![row("i-1", 3)?], Revision::of(5)))?;
-    tell(Servers::Changes(vec![Change::Is(row_of(
+    tell(Servers::Changes(vec![Change::Upserted(row_of(
         "i-1",
         7,
         State::Draining,
@@ -341,7 +348,7 @@
     // As of the eighth revision there was no such server yet.
     tell(Servers::All(vec![row("i-1", 3)?], Revision::of(8)))?;
     ensure!(known(&relay, "i-2")?, "dropped by an older list");
-    tell(Servers::Changes(vec![Change::Gone(
+    tell(Servers::Changes(vec![Change::Removed(
         "i-2".parse()?,
         Revision::of(7),
     )]))?;
@@ -371,7 +378,7 @@
         let old = relay.fleet.get(&"i-1".parse()?);
         let old = old.ok_or_else(|| eyre!("unknown"))?;
         if was_absent {
-            old.record(Outcome::Absent, Instant::now());
+            old.record(Outcome::NotListening, Instant::now());
         }
         let both = Servers::All(vec![row("i-1", 3)?, row("i-2", 9)?], Revision::of(9));
         take(&follower, told(0, 4, both), None, Instant::now())?;
@@ -394,7 +401,7 @@
     let (relay, follower) = follower()?;
     let entry = |revision, cold| Ok(row("i-1", revision)?.with_cold(ms(cold))) as Result<Row>;
     let hear = |rows: Vec<Row>| {
-        let changes = rows.into_iter().map(Change::Is).collect();
+        let changes = rows.into_iter().map(Change::Upserted).collect();
         let answer = told(0, 4, Servers::Changes(changes));
         take(&follower, answer, Some(document(7)), Instant::now())
     };
@@ -412,7 +419,10 @@
         follower.servers_after(joined) == (nothing(), joined),
         "told again"
     );
-    ensure!(follower.record().seen() == Revision::of(8), "not seen");
+    ensure!(
+        follower.record().newest_revision() == Revision::of(8),
+        "not seen"
+    );
     ensure!(
         follower.record().is_outdated(&entry(7, 0)?),
         "the older one counts"
@@ -424,7 +434,7 @@
         return Err(eyre!("{again:?}"));
     };
     ensure!(changes.len() == 1, "{changes:?}");
-    let Change::Is(told_cold) = &changes[0] else {
+    let Change::Upserted(told_cold) = &changes[0] else {
         return Err(eyre!("{changes:?}"));
     };
     let cold = Server::from(told_cold.clone()).cold;
@@ -441,8 +451,8 @@
 }
 
 /// How far the store is known that an answer is from.
-fn standing(era: u64, first: u64, in_force: u64) -> Standing {
-    Standing {
+fn standing(era: u64, first: u64, in_force: u64) -> Status {
+    Status {
         era,
         first,
         settled: true,
@@ -482,7 +492,7 @@
     ensure!(known(&relay, "i-1")?, "not understood");
     ensure!(relay.view.version().0 == 8, "{}", relay.view.version());
     let two = Revision::new(Era(2), 30);
-    let row = row("i-2", 1)?.at(two);
+    let row = row("i-2", 1)?.with_revision(two);
     let servers = Servers::All(vec![row], Revision::of(30));
     take(&follower, of_era(2, 30, 8, servers), None, asked)?;
     ensure!(known(&relay, "i-2")?, "a lower number of a later era");
@@ -493,10 +503,10 @@
         told(0, 61, all("i-3", 61)?),
     ] {
         let mut heard = late.clone();
-        let listened = follower.hear_servers(&mut heard, &mut None);
-        ensure!(matches!(listened, Err(Error::Former)), "{listened:?}");
-        let taken = follower.take_answer(late, Some(document(9)), Instant::now());
-        ensure!(matches!(taken, Err(Error::Former)), "{taken:?}");
+        let listened = follower.apply_partial_answer(&mut heard, &mut None);
+        ensure!(matches!(listened, Err(Error::StaleEra)), "{listened:?}");
+        let taken = follower.apply_answer(late, Some(document(9)), Instant::now());
+        ensure!(matches!(taken, Err(Error::StaleEra)), "{taken:?}");
     }
     ensure!(!known(&relay, "i-3")?, "a server of the former era");
     ensure!(relay.view.version().0 == 8, "{}", relay.view.version());
@@ -516,7 +526,7 @@
     };
     take(&follower, answer, Some(document(7)), asked)?;
     let less = Answer {
-        standing: Some(Standing {
+        standing: Some(Status {
             settled: false,
             ..standing(2, 30, 5)
         }),
@@ -529,14 +539,14 @@
     ensure!(relay.view.age_at(asked + ms(10)) == age, "proven by less");
     ensure!(!relay.standing.is_settled(), "settled by less");
     // It is told what it lacks.
-    let ask = |in_force| Ask {
+    let ask = |in_force| Request {
         version: VERSION,
         number: 1,
         document: 99,
         position: Position::default(),
-        more: Some(More {
+        options: Some(Options {
             in_force: Some(in_force),
-            ..More::default()
+            ..Options::default()
         }),
     };
     let told = follower.document_for(&ask(5));
--- a/crates/relay/tests/relay/peers.rs
+++ b/crates/relay/tests/relay/peers.rs
@@ -12,11 +12,14 @@
 use tidepier_relay_standin::site::{Route, Site};
 use tidepier_relay_standin::store::Down;
 
-use crate::hall::{
-    self, address, begun, keyed, readers, ready, register, served, settled, started, with_key,
-    Machine, Process, Way, APPLY_TIME, BOXES, LEAVE_TIME, PROOF_TIME, REVOKE_TIME,
+use crate::box_harness::{
+    self, address, readers, ready, register, served, settled, site_with_keys, start_boxes, started,
+    with_key, Process, Proxy, TestBox, APPLY_TIME, BOXES, LEAVE_TIME, PROOF_TIME, REVOKE_TIME,
+};
+use crate::harness::{
+    ensure_not_executed, ensure_served_by, ms, post, run, server_settings, wait_until, Executor,
+    Result, SERVICE,
 };
-use crate::house::{ms, post, promised, run, until, usual, whole, Executor, Result, SERVICE};
 
 /// Time in which a reader asks the store for two proofs.
 const TWO_PROOFS: Duration = Duration::from_millis(1_700);
@@ -27,8 +30,8 @@
 #[test]
 fn one_box_of_a_hall_reads_the_store() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let server = site.server(usual(1))?;
+        let site = site_with_keys()?;
+        let server = site.server(server_settings(1))?;
         let mut machines = Vec::new();
         for (name, hall, link) in [
             ("box-0", "hall-1", 200),
@@ -38,7 +41,7 @@
             ("box-4", "hall-2", 900),
             ("box-5", "hall-2", 800),
         ] {
-            machines.push(Machine::start(&executor, &site, name, hall, link).await?);
+            machines.push(TestBox::start(&executor, &site, name, hall, link).await?);
         }
         ready(&machines).await?;
         settled(&machines, &[3, 4]).await?;
@@ -58,19 +61,19 @@
 #[test]
 fn changes_reach_all_boxes_in_time() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let stays = site.server(usual(1))?;
-        let leaves = site.server(usual(2))?;
+        let site = site_with_keys()?;
+        let stays = site.server(server_settings(1))?;
+        let leaves = site.server(server_settings(2))?;
         let machines = started(&executor, &site, 4).await?;
         let since = Instant::now();
         site.declare(&[Route::new("/new/", Kind::Repeatable, SERVICE)]);
         site.announce(&leaves, State::Draining);
         for machine in &machines {
-            until("applied", async || {
+            wait_until("applied", async || {
                 Ok(machine.call(&post("/new/x", "probe")).await?.status == 200)
             })
             .await?;
-            until("left", async || Ok(!machine.serves_by(&leaves)?)).await?;
+            wait_until("left", async || Ok(!machine.sends_to(&leaves)?)).await?;
         }
         ensure!(since.elapsed() < APPLY_TIME, "{:?}", since.elapsed());
         ensure!(since.elapsed() < LEAVE_TIME, "{:?}", since.elapsed());
@@ -78,12 +81,12 @@
         let since = Instant::now();
         site.drop_route("/new/");
         site.withdraw(&leaves);
-        let joins = site.server(usual(3))?;
+        let joins = site.server(server_settings(3))?;
         served(&machines, &[&stays, &joins], ms(300)).await?;
         for machine in &machines {
-            until("dropped", async || {
+            wait_until("dropped", async || {
                 let status = machine.call(&post("/new/x", "probe")).await?.status;
-                Ok(status == 404 && !machine.knows(&leaves) && machine.serves_by(&joins)?)
+                Ok(status == 404 && !machine.knows(&leaves) && machine.sends_to(&joins)?)
             })
             .await?;
         }
@@ -94,9 +97,9 @@
 }
 
 /// Harms the reader of a hall; the others serve on, and one of them reads.
-async fn replaced(executor: Executor, harm: impl FnOnce(&Machine)) -> Result<Vec<Machine>> {
-    let site = keyed()?;
-    let server = site.server(usual(1))?;
+async fn replaced(executor: Executor, harm: impl FnOnce(&TestBox)) -> Result<Vec<TestBox>> {
+    let site = site_with_keys()?;
+    let server = site.server(server_settings(1))?;
     let machines = started(&executor, &site, 3).await?;
     harm(&machines[0]);
     let others = &machines[1..];
@@ -120,8 +123,8 @@
 #[test]
 fn a_thawed_reader_opens_nothing_old() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let server = site.server(usual(1))?;
+        let site = site_with_keys()?;
+        let server = site.server(server_settings(1))?;
         let machines = started(&executor, &site, 2).await?;
         let (reader, others) = (&machines[0], &machines[1..]);
         reader.freeze(true);
@@ -162,13 +165,13 @@
 #[test]
 fn a_killed_reader_is_replaced_and_comes_back() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let server = site.server(usual(1))?;
+        let site = site_with_keys()?;
+        let server = site.server(server_settings(1))?;
         let peer = address();
-        let told = hall::settings(&site, "box-9", "hall-1", 9_000, peer);
+        let told = box_harness::settings(&site, "box-9", "hall-1", 9_000, peer);
         let mut reader = Process::start(told.clone(), peer)?;
-        until("serving", async || Ok(reader.serves().await)).await?;
-        let machines = begun(&executor, &site, 2).await?;
+        wait_until("serving", async || Ok(reader.serves().await)).await?;
+        let machines = start_boxes(&executor, &site, 2).await?;
         settled(&machines, &[]).await?;
         reader.kill()?;
         served(&machines, &[&server], REVOKE_TIME).await?;
@@ -195,17 +198,17 @@
 fn a_hall_without_a_configuration_has_one_reader() -> Result {
     run(async |executor| {
         let site = Site::start()?;
-        let server = site.server(usual(1))?;
+        let server = site.server(server_settings(1))?;
         let mut machines = Vec::new();
         for number in 0..5 {
             let (name, link) = (format!("box-{number}"), 5_000 - number * 100);
-            machines.push(Machine::start(&executor, &site, &name, "hall-1", link).await?);
+            machines.push(TestBox::start(&executor, &site, &name, "hall-1", link).await?);
         }
         settled(&machines, &[0]).await?;
         ensure!(site.store.keys(BOXES).len() == 5, "not all are registered");
         for machine in &machines {
             ensure!(!machine.is_ready(), "ready without a configuration");
-            promised(&machine.call(&post("/r/x", "early")).await?)?;
+            ensure_not_executed(&machine.call(&post("/r/x", "early")).await?)?;
         }
         let since = Instant::now();
         site.declare(&[Route::new("/r/", Kind::Repeatable, SERVICE)]);
@@ -213,7 +216,7 @@
         ensure!(since.elapsed() < APPLY_TIME, "{:?}", since.elapsed());
         for machine in &machines {
             let answer = machine.call(&post("/r/x", &machine.name)).await?;
-            whole(&answer, &[&server], &machine.name)?;
+            ensure_served_by(&answer, &[&server], &machine.name)?;
         }
         Ok(())
     })
@@ -221,20 +224,20 @@
 
 /// A reader in `hall-2` that the boxes of `hall-1` ask over a way that a test
 /// can delay.
-async fn over_a_way(executor: &Executor, site: &Site) -> Result<(Machine, Way, Vec<Machine>)> {
-    let reader = Machine::start(executor, site, "box-9", "hall-2", 1_000).await?;
-    let way = Way::open(executor, reader.peer).await?;
+async fn over_a_way(executor: &Executor, site: &Site) -> Result<(TestBox, Proxy, Vec<TestBox>)> {
+    let reader = TestBox::start(executor, site, "box-9", "hall-2", 1_000).await?;
+    let way = Proxy::open(executor, reader.peer).await?;
     register(site, "box-8", "hall-1", way.address())?;
-    until("ready", async || Ok(reader.is_ready())).await?;
-    let machines = begun(executor, site, 2).await?;
+    wait_until("ready", async || Ok(reader.is_ready())).await?;
+    let machines = start_boxes(executor, site, 2).await?;
     settled(&machines, &[]).await?;
     Ok((reader, way, machines))
 }
 
 /// Requests with a key that was taken away while the store is lost for all.
 async fn refused_in_time(executor: Executor, delay: Duration) -> Result {
-    let site = keyed()?;
-    let server = site.server(usual(1))?;
+    let site = site_with_keys()?;
+    let server = site.server(server_settings(1))?;
     let (reader, way, machines) = over_a_way(&executor, &site).await?;
     way.delay(delay);
     served(&machines, &[&server], ms(500)).await?;
@@ -256,7 +259,7 @@
             let asked = Instant::now();
             let answer = machine.call(&with_key("goes", &attempt)).await?;
             if asked > lost + REVOKE_TIME {
-                promised(&answer)?;
+                ensure_not_executed(&answer)?;
                 ensure!(server.ran(&attempt) == 0, "{attempt} ran");
             }
         }
@@ -287,8 +290,8 @@
 #[test]
 fn a_proof_passed_on_is_no_younger() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let server = site.server(usual(1))?;
+        let site = site_with_keys()?;
+        let server = site.server(server_settings(1))?;
         let (reader, way, machines) = over_a_way(&executor, &site).await?;
         for delay in [0, 120, 300] {
             way.delay(ms(delay));
@@ -319,9 +322,9 @@
 #[test]
 fn a_server_that_is_gone_is_not_brought_back() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let gone = site.server(usual(1))?;
-        let stays = site.server(usual(2))?;
+        let site = site_with_keys()?;
+        let gone = site.server(server_settings(1))?;
+        let stays = site.server(server_settings(2))?;
         let start = Instant::now();
         let machines = started(&executor, &site, 3).await?;
         // From now on a box that cannot vouch is passed over for 3 s.
@@ -333,7 +336,7 @@
         served(others, &[&gone, &stays], ms(1_800)).await?;
         site.withdraw(&gone);
         let left = Instant::now();
-        until("dropped", async || {
+        wait_until("dropped", async || {
             Ok(!others.iter().any(|machine| machine.knows(&gone)))
         })
         .await?;
--- a/crates/relay/tests/relay/places.rs
+++ b/crates/relay/tests/relay/places.rs
@@ -10,8 +10,8 @@
 use tidepier_relay::fleet::Key;
 use tidepier_relay::health::Outcome;
 
-use crate::desk::{id, prompt, Desk, LARGE, SMALL};
-use crate::house::Result;
+use crate::choice_harness::{id, prompt, ChoiceHarness, LARGE, SMALL};
+use crate::harness::Result;
 
 /// Subjects of a test: many against the servers, so that each comes first for
 /// some.
@@ -21,9 +21,9 @@
 
 #[test]
 fn boxes_agree_on_who_comes_first() -> Result {
-    let here = Desk::new("hall-1", 0..12)?;
-    let backwards = Desk::new("hall-1", (0..12).rev())?;
-    let far = Desk::new("hall-2", 0..12)?;
+    let here = ChoiceHarness::new("hall-1", 0..12)?;
+    let backwards = ChoiceHarness::new("hall-1", (0..12).rev())?;
+    let far = ChoiceHarness::new("hall-2", 0..12)?;
     let mut firsts: HashMap<ids::Server, usize> = HashMap::new();
     for subject in 0..SUBJECTS {
         let prompt = prompt(subject, LARGE);
@@ -46,7 +46,7 @@
 
 #[test]
 fn the_question_does_not_move_a_subject() -> Result {
-    let desk = Desk::new("hall-1", 0..12)?;
+    let desk = ChoiceHarness::new("hall-1", 0..12)?;
     for subject in 0..20 {
         let first = desk.first(&prompt(subject, LARGE))?;
         for number in 0..10 {
@@ -60,9 +60,9 @@
 
 #[test]
 fn a_subject_moves_only_when_its_server_leaves() -> Result {
-    let desk = Desk::new("hall-1", 0..12)?;
+    let desk = ChoiceHarness::new("hall-1", 0..12)?;
     let prompts: Vec<Prompt> = (0..SUBJECTS).map(|n| prompt(n, LARGE)).collect();
-    let firsts = |desk: &Desk| -> Result<Vec<ids::Server>> {
+    let firsts = |desk: &ChoiceHarness| -> Result<Vec<ids::Server>> {
         prompts.iter().map(|prompt| desk.first(prompt)).collect()
     };
     let seconds: Result<Vec<ids::Server>> = prompts
@@ -93,9 +93,9 @@
 fn a_small_subject_has_one_order_for_all_halls() -> Result {
     // A hall without servers of its own, too.
     let desks = [
-        Desk::new("hall-1", 0..12)?,
-        Desk::new("hall-2", 0..12)?,
-        Desk::new("hall-3", 0..12)?,
+        ChoiceHarness::new("hall-1", 0..12)?,
+        ChoiceHarness::new("hall-2", 0..12)?,
+        ChoiceHarness::new("hall-3", 0..12)?,
     ];
     for subject in 0..SUBJECTS {
         let prompt = prompt(subject, SMALL);
@@ -112,11 +112,12 @@
 
 #[test]
 fn a_leaving_server_gives_copies_to_its_heir() -> Result {
-    let desk = Desk::new("hall-1", 0..12)?;
+    let desk = ChoiceHarness::new("hall-1", 0..12)?;
     for subject in 0..40 {
         let prompt = prompt(subject, LARGE);
         let first = desk.first(&prompt)?;
-        if !desk.backend(&first)?.serves() || desk.fleet.serving(&desk.service).len() < 4 {
+        if !desk.backend(&first)?.accepts_requests() || desk.fleet.serving(&desk.service).len() < 4
+        {
             continue;
         }
         let heir = desk.ranked(&prompt, 1)?;
@@ -129,7 +130,8 @@
         ensure!(desk.source(&prompt, &heir) == Some(from), "{heir}");
         // Subjects are asked for again and again.
         for _ in 0..2 {
-            desk.index.sent(&prompt, Key::new(&first), Instant::now());
+            desk.index
+                .record_local(&prompt, Key::new(&first), Instant::now());
         }
         ensure!(desk.source(&prompt, &first).is_none(), "{first}");
         ensure!(desk.source(&prompt, &heir) == Some(from), "{heir}");
@@ -148,7 +150,7 @@
 
 #[test]
 fn a_new_server_copies_from_the_next_one() -> Result {
-    let desk = Desk::new("hall-1", 0..8)?;
+    let desk = ChoiceHarness::new("hall-1", 0..8)?;
     let firsts = sent_to_firsts(&desk)?;
     desk.join(20, LATER)?;
     let joiner: ids::Server = id("i-20")?;
@@ -167,7 +169,7 @@
 
 #[test]
 fn a_new_server_copies_from_the_one_before_it_though_nobody_told() -> Result {
-    let desk = Desk::new("hall-1", 0..8)?;
+    let desk = ChoiceHarness::new("hall-1", 0..8)?;
     let first = |subject| desk.first(&prompt(subject, LARGE));
     let firsts: Result<Vec<ids::Server>> = (0..SUBJECTS).map(first).collect();
     desk.join(20, LATER)?;
@@ -183,7 +185,7 @@
         let from = desk.backend(&before)?.server.address;
         ensure!(desk.source(&prompt, &joiner) == Some(from), "{before}");
         // What is only expected to be there does not make the new one cheaper.
-        let lack = desk.places(&prompt).lacking(Key::new(&joiner));
+        let lack = desk.places(&prompt).missing_tokens(Key::new(&joiner));
         ensure!(lack.copied == 0.0, "{lack:?}");
     }
     ensure!(taken > 0, "the new server took nothing over");
@@ -192,7 +194,7 @@
 
 #[test]
 fn only_what_a_source_is_known_to_keep_counts_as_copied() -> Result {
-    let desk = Desk::new("hall-1", 0..12)?;
+    let desk = ChoiceHarness::new("hall-1", 0..12)?;
     let common = Part {
         id: 77_000,
         tokens: 400,
@@ -205,20 +207,21 @@
     let (known, unknown) = (with_common(1), with_common(2));
     let keeper = desk.first(&known)?;
     for _ in 0..2 {
-        desk.index.sent(&known, Key::new(&keeper), Instant::now());
+        desk.index
+            .record_local(&known, Key::new(&keeper), Instant::now());
     }
     let ids = desk.fleet.ids();
     let places = desk.places(&unknown);
     let stranger = ids.iter().find(|id| places.rank(Key::new(id)).is_none());
     let stranger = stranger.ok_or_else(|| eyre!("all have a rank"))?;
-    let lack = places.lacking(Key::new(stranger));
+    let lack = places.missing_tokens(Key::new(stranger));
     ensure!(lack.copied == f64::from(common.tokens), "{lack:?}");
     ensure!(lack.read == f64::from(LARGE), "{lack:?}");
     // All of it is rather copied from the engine that should keep the subject.
     let from = desk.backend(&desk.first(&unknown)?)?.server.address;
     ensure!(desk.source(&unknown, stranger) == Some(from), "{from}");
     // But not where all placements are told: this subject is new.
-    desk.index.coverage.heard(100_000, 0);
+    desk.index.coverage.record_message(100_000, 0);
     let source = desk.source(&unknown, stranger);
     let from = desk.backend(&keeper)?.server.address;
     ensure!(source == Some(from), "{source:?}");
@@ -226,12 +229,12 @@
 }
 
 /// Sends each subject to the server that comes first for it; returns those.
-fn sent_to_firsts(desk: &Desk) -> Result<BTreeMap<u64, ids::Server>> {
+fn sent_to_firsts(desk: &ChoiceHarness) -> Result<BTreeMap<u64, ids::Server>> {
     let now = Instant::now();
     let send = |subject| {
         let prompt = prompt(subject, LARGE);
         let first = desk.first(&prompt)?;
-        desk.index.sent(&prompt, Key::new(&first), now);
+        desk.index.record_local(&prompt, Key::new(&first), now);
         Ok((subject, first))
     };
     (0..SUBJECTS).map(send).collect()
@@ -239,7 +242,7 @@
 
 #[test]
 fn what_was_sent_goes_before_what_is_likely() -> Result {
-    let desk = Desk::new("hall-1", 0..12)?;
+    let desk = ChoiceHarness::new("hall-1", 0..12)?;
     let prompt = prompt(7, LARGE);
     let now = Instant::now();
     let first = desk.first(&prompt)?;
@@ -248,10 +251,10 @@
         .iter()
         .find(|id| desk.places(&prompt).rank(Key::new(id)).is_none());
     let outsider = outsider.ok_or_else(|| eyre!("all have a rank"))?;
-    let lacks = |id: &ids::Server| desk.places(&prompt).lacking(Key::new(id)).tokens();
+    let lacks = |id: &ids::Server| desk.places(&prompt).missing_tokens(Key::new(id)).tokens();
     ensure!(lacks(outsider) == f64::from(LARGE), "{}", lacks(outsider));
     ensure!(lacks(&first) < f64::from(LARGE), "{}", lacks(&first));
-    desk.index.sent(&prompt, Key::new(outsider), now);
+    desk.index.record_local(&prompt, Key::new(outsider), now);
     ensure!(lacks(outsider) == 0.0, "{}", lacks(outsider));
     ensure!(
         desk.source(&prompt, outsider).is_none(),
@@ -264,30 +267,37 @@
     );
     // Too little to be worth a copy.
     let short = self::prompt(8, 150);
-    desk.index.sent(&short, Key::new(outsider), now);
+    desk.index.record_local(&short, Key::new(outsider), now);
     ensure!(desk.source(&short, &first).is_none(), "copies too little");
     Ok(())
 }
 
 #[test]
 fn boxes_agree_on_who_stands_in_for_a_server_that_fails() -> Result {
-    let desks = [Desk::new("hall-1", 0..12)?, Desk::new("hall-2", 0..12)?];
+    let desks = [
+        ChoiceHarness::new("hall-1", 0..12)?,
+        ChoiceHarness::new("hall-2", 0..12)?,
+    ];
     let prompt = prompt(3, LARGE);
     let failing = desks[0].first(&prompt)?;
     let next = desks[0].ranked(&prompt, 1)?;
     for desk in &desks {
         let backend = desk.backend(&failing)?;
         for _ in 0..3 {
-            backend.record(Outcome::Absent, Instant::now());
+            backend.record(Outcome::NotListening, Instant::now());
         }
         ensure!(desk.first(&prompt)? == next, "{failing} is still first");
-        let lacking = desk.places(&prompt).lacking(Key::new(&failing)).tokens();
+        let lacking = desk
+            .places(&prompt)
+            .missing_tokens(Key::new(&failing))
+            .tokens();
         ensure!(
             lacking == f64::from(LARGE),
             "it counts as keeping the prompt"
         );
         // Nothing can be copied from a server that does not answer.
-        desk.index.sent(&prompt, backend.key, Instant::now());
+        desk.index
+            .record_local(&prompt, backend.key, Instant::now());
         let from = backend.server.address;
         ensure!(desk.source(&prompt, &next) != Some(from), "a copy from it");
     }
@@ -296,20 +306,20 @@
 
 #[test]
 fn nothing_is_copied_from_a_server_whose_last_request_failed() -> Result {
-    let desk = Desk::new("hall-1", 0..12)?;
+    let desk = ChoiceHarness::new("hall-1", 0..12)?;
     for told in [false, true] {
         let prompt = prompt(4 + u64::from(told), LARGE);
         let first = desk.backend(&desk.first(&prompt)?)?;
         let heir = desk.ranked(&prompt, 1)?;
         if told {
-            desk.index.sent(&prompt, first.key, Instant::now());
+            desk.index.record_local(&prompt, first.key, Instant::now());
         }
         let from = Some(first.server.address);
         ensure!(desk.source(&prompt, &heir) == from, "{told}");
-        first.record(Outcome::Absent, Instant::now());
-        ensure!(first.is_usable(Instant::now()), "left out at once");
+        first.record(Outcome::NotListening, Instant::now());
+        ensure!(first.is_healthy(Instant::now()), "left out at once");
         ensure!(desk.source(&prompt, &heir) != from, "{told}");
-        first.record(Outcome::Good, Instant::now());
+        first.record(Outcome::Succeeded, Instant::now());
         ensure!(desk.source(&prompt, &heir) == from, "{told}");
     }
     Ok(())
@@ -317,7 +327,7 @@
 
 #[test]
 fn a_request_that_failed_goes_on_to_the_next_in_order() -> Result {
-    let desk = Desk::new("hall-1", 0..12)?;
+    let desk = ChoiceHarness::new("hall-1", 0..12)?;
     let prompt = prompt(5, LARGE);
     let tried = [desk.first(&prompt)?, desk.ranked(&prompt, 1)?];
     let third = desk.ranked(&prompt, 2)?;
@@ -330,7 +340,7 @@
 
 #[test]
 fn servers_that_join_together_copy_from_one_that_was_there() -> Result {
-    let desk = Desk::new("hall-1", 0..8)?;
+    let desk = ChoiceHarness::new("hall-1", 0..8)?;
     let settled = sent_to_firsts(&desk)?;
     for number in 20..28 {
         desk.join(number, LATER)?;
--- a/crates/relay/tests/relay/port.rs
+++ b/crates/relay/tests/relay/port.rs
@@ -7,35 +7,35 @@
 use futures_lite::FutureExt;
 use smol::Timer;
 use tidepier_h1::Conn;
-use tidepier_relay::message::follow::{Answer, Ask, Position};
-use tidepier_relay::message::{link, Question, VERSION};
-use tidepier_relay::peer::hub;
+use tidepier_relay::message::follow::{Answer, Position, Request};
+use tidepier_relay::message::{link, PeerRequest, VERSION};
+use tidepier_relay::peer::responder;
 use tidepier_relay_standin::site::Site;
 use tidepier_relay_standin::Server;
 
-use crate::hall::{begun, keyed, Machine};
-use crate::house::{ms, run, until, usual, Executor, Result};
+use crate::box_harness::{site_with_keys, start_boxes, TestBox};
+use crate::harness::{ms, run, server_settings, wait_until, Executor, Result};
 use crate::impostors::closed;
 
 /// Time after which bytes that nobody acknowledged end a connection.
 const UNACKED: Duration = Duration::from_secs(30);
 
 /// A question of a box that knows every configuration.
-fn question(number: u64) -> Question {
-    Question::Follow(Ask {
+fn question(number: u64) -> PeerRequest {
+    PeerRequest::Follow(Request {
         version: VERSION,
         number,
         document: u64::MAX,
         position: Position::default(),
-        more: None,
+        options: None,
     })
 }
 
 /// A site with a server, and one box.
-async fn alone(executor: &Executor) -> Result<(Site, Server, Vec<Machine>)> {
-    let site = keyed()?;
-    let server = site.server(usual(1))?;
-    let machines = begun(executor, &site, 1).await?;
+async fn alone(executor: &Executor) -> Result<(Site, Server, Vec<TestBox>)> {
+    let site = site_with_keys()?;
+    let server = site.server(server_settings(1))?;
+    let machines = start_boxes(executor, &site, 1).await?;
     Ok((site, server, machines))
 }
 
@@ -53,10 +53,10 @@
             halves.push(conn);
         }
         for conn in &mut halves {
-            ended(conn, hub::MESSAGE_TIME + ms(3_000)).await?;
+            ended(conn, responder::MESSAGE_TIMEOUT + ms(3_000)).await?;
         }
         ensure!(
-            start.elapsed() >= hub::MESSAGE_TIME - ms(50),
+            start.elapsed() >= responder::MESSAGE_TIMEOUT - ms(50),
             "{:?}",
             start.elapsed()
         );
@@ -77,7 +77,7 @@
         link::send(&first, &question(1)).await?;
         let _told: Answer = link::receive(&mut first).await?;
         let mut others = Vec::new();
-        for _ in 0..hub::CONNECTIONS {
+        for _ in 0..responder::CONNECTIONS_MAX {
             others.push(open().await?);
         }
         let mut over = others.pop().ok_or_else(|| eyre!("no connection"))?;
@@ -87,7 +87,7 @@
         let told: Answer = link::receive(&mut first).await?;
         ensure!(told.number == 2, "{told:?}");
         drop(others);
-        until("room", async || {
+        wait_until("room", async || {
             let mut conn = open().await?;
             link::send(&conn, &question(3)).await?;
             Ok(link::receive::<Answer>(&mut conn).await.is_ok())
@@ -101,7 +101,7 @@
     run(async |executor| {
         let (_site, _server, machines) = alone(&executor).await?;
         let mut conn = Conn::open(machines[0].peer, ms(500), UNACKED).await?;
-        let length = u32::try_from(hub::ASK_BYTES + 1)?;
+        let length = u32::try_from(responder::REQUEST_BYTES_MAX + 1)?;
         conn.writer().write_all(&length.to_be_bytes()).await?;
         closed(&mut conn).await
     })
--- a/crates/relay/tests/relay/process.rs
+++ b/crates/relay/tests/relay/process.rs
@@ -10,7 +10,7 @@
 use tidepier_relay_standin::client::Call;
 use tidepier_relay_standin::Client;
 
-use crate::house::Result;
+use crate::harness::Result;
 
 /// A router process; it ends when dropped.
 pub(crate) struct Process {
--- a/crates/relay/tests/relay/raw.rs
+++ b/crates/relay/tests/relay/raw.rs
@@ -9,7 +9,7 @@
 use tidepier_h1::{Body, Conn, Framing, Head, Listener};
 use tidepier_relay_standin::site::Site;
 
-use crate::house::{Executor, Result, SERVICE};
+use crate::harness::{Executor, Result, SERVICE};
 
 /// Time after which unacknowledged data ends a connection; never on loopback.
 const UNACKED: Duration = Duration::from_secs(30);
@@ -79,14 +79,14 @@
 }
 
 /// A server that gives its answer in two parts.
-pub(crate) struct Late {
+pub(crate) struct TwoPartServer {
     /// Time from the request to the first part.
     pub(crate) first: Duration,
     /// Time from the first part to the second.
     pub(crate) second: Duration,
 }
 
-impl Late {
+impl TwoPartServer {
     /// Starts the server as `id` and announces it. `answer` makes the two
     /// parts; a connection carries one request.
     pub(crate) fn start(
--- a/crates/relay/tests/relay/recalled.rs
+++ b/crates/relay/tests/relay/recalled.rs
@@ -9,8 +9,8 @@
 use tidepier_relay_standin::server::Server;
 use tidepier_relay_standin::site::Site;
 
-use crate::hall::Machine;
-use crate::house::{ms, run, until, Executor, Result};
+use crate::box_harness::TestBox;
+use crate::harness::{ms, run, wait_until, Executor, Result};
 use crate::load::engines_site;
 use crate::shared::{agreed, ask_about, engines, halls, holders};
 
@@ -19,7 +19,7 @@
 
 /// Boxes that know what engines keep, all of which are then killed and started
 /// again.
-async fn restarted(executor: &Executor, site: &Site) -> Result<(Vec<Vec<Key>>, Vec<Machine>)> {
+async fn restarted(executor: &Executor, site: &Site) -> Result<(Vec<Vec<Key>>, Vec<TestBox>)> {
     let machines = halls(executor, site).await?;
     for number in 0..12 {
         ask_about(&machines[number as usize % 3], number).await?;
@@ -32,9 +32,9 @@
     Ok((known, halls(executor, site).await?))
 }
 
-async fn all_learned(machines: &[Machine]) -> Result {
+async fn all_learned(machines: &[TestBox]) -> Result {
     let start = Instant::now();
-    until("learned", async || {
+    wait_until("learned", async || {
         let progress = machines
             .iter()
             .map(|it| it.router.relay().traffic.progress());
@@ -64,7 +64,7 @@
         let lists = asked(&engines);
         ensure!(lists.iter().all(|count| *count <= 2), "{lists:?}");
         // One that starts now asks the others.
-        let _fresh = Machine::start(&executor, &site, "box-9", "hall-2", 100).await?;
+        let _fresh = TestBox::start(&executor, &site, "box-9", "hall-2", 100).await?;
         Timer::after(ms(700)).await;
         ensure!(asked(&engines) == lists, "{:?}", asked(&engines));
         Ok(())
--- a/crates/relay/tests/relay/recover.rs
+++ b/crates/relay/tests/relay/recover.rs
@@ -9,8 +9,8 @@
 use tidepier_relay_standin::store::Down;
 use tidepier_relay_standin::{Client, Server};
 
-use crate::hall::{self, address, keyed, served, with_key, Machine, Process};
-use crate::house::{ms, promised, run, until, usual, Executor, Result};
+use crate::box_harness::{self, address, served, site_with_keys, with_key, Process, TestBox};
+use crate::harness::{ensure_not_executed, ms, run, server_settings, wait_until, Executor, Result};
 
 /// The bound: so long after the boxes are back, requests are served again.
 const RECOVER_TIME: Duration = Duration::from_secs(12);
@@ -28,7 +28,7 @@
     let boxes = BOXES.iter().zip(peers);
     boxes
         .map(|((name, hall, link), peer)| {
-            Process::start(hall::settings(site, name, hall, *link, *peer), *peer)
+            Process::start(box_harness::settings(site, name, hall, *link, *peer), *peer)
         })
         .collect()
 }
@@ -36,7 +36,7 @@
 /// Waits until every box serves a request with a key.
 async fn all_serve(boxes: &[Process]) -> Result {
     for process in boxes {
-        until("served", async || Ok(process.serves().await)).await?;
+        wait_until("served", async || Ok(process.serves().await)).await?;
     }
     Ok(())
 }
@@ -48,8 +48,8 @@
 
 /// A site with a server, and its boxes, which all serve.
 async fn serving() -> Result<(Site, Server, Vec<SocketAddr>, Vec<Process>)> {
-    let site = keyed()?;
-    let server = site.server(usual(1))?;
+    let site = site_with_keys()?;
+    let server = site.server(server_settings(1))?;
     let peers: Vec<SocketAddr> = BOXES.iter().map(|_| address()).collect();
     let boxes = started(&site, &peers)?;
     all_serve(&boxes).await?;
@@ -92,19 +92,19 @@
 async fn refused_by(boxes: &[Process]) -> Result {
     for process in boxes {
         let call = with_key("stays", "early").leaving(ms(900));
-        until("listening", async || {
+        wait_until("listening", async || {
             Ok(Client::once(process.front(), &call).await.is_ok())
         })
         .await?;
-        promised(&Client::once(process.front(), &call).await?)?;
+        ensure_not_executed(&Client::once(process.front(), &call).await?)?;
     }
     Ok(())
 }
 
-async fn machines(executor: &Executor, site: &Site) -> Result<Vec<Machine>> {
+async fn machines(executor: &Executor, site: &Site) -> Result<Vec<TestBox>> {
     let mut machines = Vec::new();
     for (name, hall, link) in BOXES {
-        machines.push(Machine::start(executor, site, name, hall, link).await?);
+        machines.push(TestBox::start(executor, site, name, hall, link).await?);
     }
     Ok(machines)
 }
@@ -112,16 +112,16 @@
 #[test]
 fn boxes_at_other_addresses_serve_after_all_went() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let server = site.server(usual(1))?;
+        let site = site_with_keys()?;
+        let server = site.server(server_settings(1))?;
         let first = machines(&executor, &site).await?;
-        hall::ready(&first).await?;
+        box_harness::ready(&first).await?;
         served(&first, &[&server], ms(100)).await?;
         // Their entries in the store outlive them, and lead nowhere.
         drop(first);
         let next = machines(&executor, &site).await?;
         let back = Instant::now();
-        hall::ready(&next).await?;
+        box_harness::ready(&next).await?;
         ensure!(back.elapsed() < RECOVER_TIME, "{:?}", back.elapsed());
         served(&next, &[&server], ms(300)).await
     })
--- a/crates/relay/tests/relay/regions.rs
+++ b/crates/relay/tests/relay/regions.rs
@@ -3,26 +3,27 @@
 use eyre::ensure;
 use serde_json::{json, Value};
 use tidepier_clock::Instant;
-use tidepier_core::catalog::Homes;
+use tidepier_core::catalog::AllowedRegions;
 use tidepier_relay::choose::filter::{Filter, Regions};
 use tidepier_relay_standin::client::Answer;
 use tidepier_relay_standin::server::{Fault, Server};
 
-use crate::desk::{id, prompt, Desk, LARGE};
-use crate::house::{
-    arrived, ms, promised, run, streaming, until, usual, whole, Executor, House, Result,
+use crate::choice_harness::{id, prompt, ChoiceHarness, LARGE};
+use crate::harness::{
+    count_deliveries, ensure_not_executed, ensure_served_by, ms, run, server_settings,
+    stream_server_settings, wait_until, Executor, Harness, Result,
 };
 
 /// A router in `hall-1` before a server in each of three halls; `hall-3` is in no
 /// region that the settings know.
-async fn house(executor: Executor) -> Result<([Server; 3], House)> {
-    let site = crate::hall::keyed()?;
+async fn house(executor: Executor) -> Result<([Server; 3], Harness)> {
+    let site = crate::box_harness::site_with_keys()?;
     let servers = [
-        site.server(usual(1))?,
-        site.server(usual(2))?,
-        site.server(usual(3))?,
+        site.server(server_settings(1))?,
+        site.server(server_settings(2))?,
+        site.server(server_settings(3))?,
     ];
-    let house = House::with(executor, site, |told| {
+    let house = Harness::start_with_settings(executor, site, |told| {
         told["regions"] = json!({ "hall-1": "south", "hall-2": "north", "other": "far" });
     })
     .await?;
@@ -30,7 +31,7 @@
 }
 
 /// Binds the routes of a prefix, or an account, and waits until that is in force.
-async fn bind(house: &House, list: &str, field: &str, of: &str, regions: Value) -> Result {
+async fn bind(house: &Harness, list: &str, field: &str, of: &str, regions: Value) -> Result {
     let version = house.site.configure(|config| {
         let rows = config[list].as_array_mut().into_iter().flatten();
         for row in rows.filter(|row| row[field] == of) {
@@ -38,27 +39,29 @@
         }
     });
     let view = &house.router.relay().view;
-    until("in force", async || Ok(view.version().0 == version)).await
+    wait_until("in force", async || Ok(view.version().0 == version)).await
 }
 
-async fn bind_route(house: &House, prefix: &str, regions: Value) -> Result {
+async fn bind_route(house: &Harness, prefix: &str, regions: Value) -> Result {
     bind(house, "routes", "path_prefix", prefix, regions).await
 }
 
-async fn bind_account(house: &House, name: &str, regions: Value) -> Result {
+async fn bind_account(house: &Harness, name: &str, regions: Value) -> Result {
     bind(house, "tenants", "name", name, regions).await
 }
 
-async fn keyed(house: &House, key: &str, attempt: &str) -> Result<Answer> {
-    house.call(&crate::hall::with_key(key, attempt)).await
+async fn keyed(house: &Harness, key: &str, attempt: &str) -> Result<Answer> {
+    house
+        .call(&crate::box_harness::with_key(key, attempt))
+        .await
 }
 
 fn refused(answer: &Answer, servers: &[Server; 3], attempt: &str) -> Result {
-    promised(answer)?;
+    ensure_not_executed(answer)?;
     ensure!(answer.body == br#"{"error":"no_region"}"#, "{answer:?}");
     ensure!(answer.elapsed < ms(100), "after {:?}", answer.elapsed);
     let all: Vec<&Server> = servers.iter().collect();
-    ensure!(arrived(&all, attempt) == 0, "sent");
+    ensure!(count_deliveries(&all, attempt) == 0, "sent");
     Ok(())
 }
 
@@ -71,13 +74,13 @@
             for number in 0..20 {
                 let attempt = format!("{home}-{number}");
                 let answer = house.post("/r/x", &attempt).await?;
-                whole(&answer, &[&servers[home]], &attempt)?;
+                ensure_served_by(&answer, &[&servers[home]], &attempt)?;
             }
         }
         // Nothing binds any more.
         bind_route(&house, "/r/", json!([])).await?;
         let all: Vec<&Server> = servers.iter().collect();
-        whole(&house.post("/r/x", "free").await?, &all, "free")
+        ensure_served_by(&house.post("/r/x", "free").await?, &all, "free")
     })
 }
 
@@ -89,18 +92,21 @@
         servers[1].fault(Fault::Shed, u32::MAX);
         for number in 0..5 {
             let attempt = format!("{number}");
-            promised(&house.post("/r/x", &attempt).await?)?;
-            ensure!(arrived(&[&servers[0], &servers[2]], &attempt) == 0, "left");
+            ensure_not_executed(&house.post("/r/x", &attempt).await?)?;
+            ensure!(
+                count_deliveries(&[&servers[0], &servers[2]], &attempt) == 0,
+                "left"
+            );
         }
         bind_route(&house, "/s/", json!(["south"])).await?;
-        let mut far = streaming(5, 8, ms(5));
+        let mut far = stream_server_settings(5, 8, ms(5));
         far.hall = "hall-2".into();
         let far = house.site.server(far)?;
-        let mut near = streaming(4, 8, ms(5));
+        let mut near = stream_server_settings(4, 8, ms(5));
         near.hall = "hall-1".into();
         let near = house.site.server(near)?;
         servers.iter().for_each(Server::crash);
-        until(
+        wait_until(
             "known",
             async || Ok(house.knows(&near) && house.knows(&far)),
         )
@@ -108,7 +114,10 @@
         near.fault(Fault::CutEvent, u32::MAX);
         let answer = house.post("/s/x", "stream").await?;
         ensure!(!answer.complete, "{answer:?}");
-        ensure!(arrived(&[&far], "stream") == 0, "went on elsewhere");
+        ensure!(
+            count_deliveries(&[&far], "stream") == 0,
+            "went on elsewhere"
+        );
         Ok(())
     })
 }
@@ -118,18 +127,18 @@
     run(async |executor| {
         let (servers, house) = house(executor).await?;
         bind_account(&house, "tenant-1", json!(["north"])).await?;
-        whole(&keyed(&house, "stays", "one").await?, &[&servers[1]], "one")?;
+        ensure_served_by(&keyed(&house, "stays", "one").await?, &[&servers[1]], "one")?;
         let all: Vec<&Server> = servers.iter().collect();
-        whole(&keyed(&house, "goes", "other").await?, &all, "other")?;
+        ensure_served_by(&keyed(&house, "goes", "other").await?, &all, "other")?;
         bind_route(&house, "/k/", json!(["north", "south"])).await?;
-        whole(
+        ensure_served_by(
             &keyed(&house, "stays", "both").await?,
             &[&servers[1]],
             "both",
         )?;
         bind_route(&house, "/k/", json!(["south"])).await?;
         refused(&keyed(&house, "stays", "none").await?, &servers, "none")?;
-        whole(
+        ensure_served_by(
             &keyed(&house, "goes", "route").await?,
             &[&servers[0]],
             "route",
@@ -152,17 +161,17 @@
 /// The memory of a bound prompt is copied within its regions alone.
 #[test]
 fn a_bound_prompt_is_not_copied_from_elsewhere() -> Result {
-    let desk = Desk::new("hall-1", 0..6)?;
+    let desk = ChoiceHarness::new("hall-1", 0..6)?;
     let regions: Regions = [("hall-1", "south"), ("hall-2", "north")]
         .into_iter()
         .map(|(hall, region)| Ok((id(hall)?, id(region)?)))
         .collect::<Result<_>>()?;
-    let south: Homes = vec![id("south")?].into();
+    let south: AllowedRegions = vec![id("south")?].into();
     let filter = Filter {
-        homes: [Some(&south), None],
+        allowed_regions: [Some(&south), None],
         regions: Some(&regions),
         gate: None,
-        aim: None,
+        release_selector: None,
     };
     let mut copied = 0;
     for subject in 0..200 {
@@ -170,12 +179,12 @@
         // Some engine in the other region has read it.
         let keeper = desk.backend(&id("i-2")?)?;
         let keeper_hall = keeper.server.hall.clone();
-        desk.index.sent(&prompt, keeper.key, Instant::now());
+        desk.index.record_local(&prompt, keeper.key, Instant::now());
         let choice = desk.choose_within(&prompt, filter)?;
-        ensure!(filter.is_home(&choice.backend.server.hall), "left");
+        ensure!(filter.is_allowed_hall(&choice.backend.server.hall), "left");
         let source = choice.copy_from.map(|it| it.server.hall.clone());
         copied += usize::from(source.is_some());
-        let home = source.is_none_or(|hall| filter.is_home(&hall));
+        let home = source.is_none_or(|hall| filter.is_allowed_hall(&hall));
         ensure!(home, "copied from {keeper_hall}");
     }
     ensure!(copied < 200, "the test copies nothing from elsewhere");
--- a/crates/relay/tests/relay/registry.rs
+++ b/crates/relay/tests/relay/registry.rs
@@ -9,9 +9,9 @@
 use tidepier_platform::store;
 use tidepier_relay::peer::registry::{Member, Registry};
 
-use crate::hall::{self, address, keyed, served, started, Process, BOXES};
-use crate::house::{ms, run, until, usual, Result};
-use crate::told::relay;
+use crate::box_harness::{self, address, served, site_with_keys, started, Process, BOXES};
+use crate::harness::{ms, run, server_settings, wait_until, Result};
+use crate::peer_answers::relay;
 
 /// The latest time at which a box looks whether it is registered: it lists the
 /// boxes every 15 s.
@@ -20,10 +20,10 @@
 #[test]
 fn a_box_finds_its_registration() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let server = site.server(usual(1))?;
+        let site = site_with_keys()?;
+        let server = site.server(server_settings(1))?;
         let peer = address();
-        let told = hall::settings(&site, "box-1", "hall-1", 1_000, peer);
+        let told = box_harness::settings(&site, "box-1", "hall-1", 1_000, peer);
         // As an earlier life of it left it.
         let member = Member {
             name: "box-1".parse()?,
@@ -43,7 +43,7 @@
         ensure!(matches!(swap, Swap::Done(_)), "{swap:?}");
         let revision = site.store.revision();
         let process = Process::start(told, peer)?;
-        until("serving", async || Ok(process.serves().await)).await?;
+        wait_until("serving", async || Ok(process.serves().await)).await?;
         // Boxes that register do so within this time.
         Timer::after(ms(1_500)).await;
         ensure!(site.store.calls("kv-lease") == 1, "registered again");
@@ -58,8 +58,8 @@
 #[test]
 fn a_box_that_lost_its_registration_registers_again() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let server = site.server(usual(1))?;
+        let site = site_with_keys()?;
+        let server = site.server(server_settings(1))?;
         let machines = started(&executor, &site, 2).await?;
         let keys = || site.store.keys(BOXES);
         let key = format!("{BOXES}hall-1/box-1");
@@ -78,7 +78,7 @@
 #[test]
 fn boxes_agree_on_their_order() -> Result {
     run(async |executor| {
-        let site = keyed()?;
+        let site = site_with_keys()?;
         let mut members = Vec::new();
         for (name, hall, link_mbps) in [
             ("box-0", "hall-1", 100),
@@ -105,18 +105,18 @@
             let client = store::Client::new(site.store.address());
             let registry = Registry::new(me.clone(), client.into());
             ensure!(!registry.is_listed(), "listed before it asked");
-            ensure!(registry.before_me().is_empty(), "knows others");
+            ensure!(registry.predecessors().is_empty(), "knows others");
             let boxes = relay()?;
-            let _task = executor.spawn(registry.clone().keep(boxes.clone()));
-            until("listed", async || Ok(registry.is_listed())).await?;
-            let before = registry.before_me();
+            let _task = executor.spawn(registry.clone().maintain(boxes.clone()));
+            wait_until("listed", async || Ok(registry.is_listed())).await?;
+            let before = registry.predecessors();
             // The first box of a hall tells the others of all boxes; they know those of
             // their hall until then.
             let own = members.iter().filter(|other| other.hall == me.hall).count();
             match before.is_empty() {
                 true => {
                     let all = async || Ok(boxes.boxes() >= members.len());
-                    until("all boxes known", all).await?;
+                    wait_until("all boxes known", all).await?;
                     firsts.push(registry.clone());
                 }
                 false => ensure!(boxes.boxes() == own, "{} boxes", boxes.boxes()),
@@ -127,7 +127,7 @@
         let first = firsts.first().ok_or_else(|| eyre!("no first box"))?;
         for (registry, boxes) in &others {
             if let Some(list) = first.list_for(registry.digest()) {
-                registry.hear(boxes, &list);
+                registry.apply_list(boxes, &list);
             }
             ensure!(boxes.boxes() == members.len(), "{} boxes", boxes.boxes());
             ensure!(registry.digest() == first.digest(), "another list");
--- a/crates/relay/tests/relay/requests.rs
+++ b/crates/relay/tests/relay/requests.rs
@@ -10,15 +10,16 @@
 use tidepier_core::request::{Part, Prompt};
 use tidepier_core::server::State;
 use tidepier_relay::fleet::Key;
-use tidepier_relay::places::Places;
+use tidepier_relay::locations::Locations;
 use tidepier_relay_standin::client::{Call, End};
 use tidepier_relay_standin::names;
 use tidepier_relay_standin::server::{Fault, Run, Server, Settings};
 use tidepier_relay_standin::site::{Route, HOST};
 use tidepier_relay_standin::Client;
 
-use crate::house::{
-    down, ms, pair, post, promised, run, site, streaming, until, usual, whole, House, Result,
+use crate::harness::{
+    ensure_not_executed, ensure_served_by, ms, post, run, server_settings, site,
+    start_with_two_servers, stream_server_settings, wait_until, wait_until_down, Harness, Result,
     SERVICE,
 };
 
@@ -33,24 +34,24 @@
         let site = site()?;
         let server = site.server(Settings {
             work: Duration::from_secs(20),
-            ..usual(1)
+            ..server_settings(1)
         })?;
-        let house = House::open(executor, site).await?;
+        let house = Harness::start_ready(executor, site).await?;
         let mut number = 0;
         for target in ["/r/x", "/o/x", "/u/x"] {
             let mut times = Vec::new();
             // A busy machine may hold up some of them.
             while times.len() < TRIES && times.iter().all(|time| *time >= LEAVE_TIME) {
-                let mut client = Client::open(house.front()).await?;
+                let mut client = Client::open(house.router_address()).await?;
                 let call = post(target, target).leaving(ms(200));
                 let answer = client.call(&call).await;
                 ensure!(answer.end == End::Left, "{answer:?}");
                 let run = async || server.runs().into_iter().nth(number);
-                until("sent", async || Ok(run().await.is_some())).await?;
+                wait_until("sent", async || Ok(run().await.is_some())).await?;
                 let left = Instant::now();
                 drop(client);
                 let closed = async || run().await.and_then(|run| run.closed);
-                until("closed", async || Ok(closed().await.is_some())).await?;
+                wait_until("closed", async || Ok(closed().await.is_some())).await?;
                 let closed = closed().await.expect("closed");
                 times.push(closed.saturating_duration_since(left));
                 number += 1;
@@ -68,11 +69,11 @@
 #[test]
 fn the_time_left_is_passed_on_and_shrinks() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor).await?;
+        let (near, far, house) = start_with_two_servers(executor).await?;
         near.fault(Fault::Hang, 1);
         let call = post("/r/x", "slow").with(names::DEADLINE, "3000");
         let answer = house.call(&call).await?;
-        whole(&answer, &[&near, &far], "slow")?;
+        ensure_served_by(&answer, &[&near, &far], "slow")?;
         let left = |runs: &[Run]| -> Result<u64> {
             let told = runs[0].field(names::DEADLINE);
             Ok(told.ok_or_else(|| eyre!("no time told"))?.parse()?)
@@ -100,15 +101,15 @@
         let timeout = ms(400);
         let once = Route {
             timeout,
-            ..Route::new("/short/", Kind::Once, SERVICE)
+            ..Route::new("/short/", Kind::AtMostOnce, SERVICE)
         };
         let repeatable = Route {
             timeout,
             ..Route::new("/shortr/", Kind::Repeatable, SERVICE)
         };
         site.declare(&[once, repeatable]);
-        let server = site.server(usual(1))?;
-        let house = House::open(executor, site).await?;
+        let server = site.server(server_settings(1))?;
+        let house = Harness::start_ready(executor, site).await?;
         server.fault(Fault::Hang, u32::MAX);
         for target in ["/short/x", "/shortr/x"] {
             let answer = house.post(target, target).await?;
@@ -132,12 +133,12 @@
 fn a_leaving_server_gets_nothing_new() -> Result {
     run(async |executor| {
         let site = site()?;
-        let near = site.server(usual(1))?;
+        let near = site.server(server_settings(1))?;
         let far = site.server(Settings {
             work: ms(60),
-            ..usual(2)
+            ..server_settings(2)
         })?;
-        let house = House::open(executor, site).await?;
+        let house = Harness::start_ready(executor, site).await?;
         // The near server is known to be quick, and wanted by all that follow.
         for number in 0..5 {
             house.post("/o/x", &format!("before-{number}")).await?;
@@ -146,7 +147,7 @@
         ensure!(wanted >= 3, "the case did not arise");
         near.slow(200.0);
         let leaves = async {
-            until("running", async || Ok(near.running() == 1)).await?;
+            wait_until("running", async || Ok(near.running() == 1)).await?;
             near.slow(1.0);
             house.site.announce(&near, State::Draining);
             let told = Instant::now();
@@ -155,13 +156,13 @@
                 number += 1;
                 let attempt = format!("new-{number}");
                 let answer = house.post("/o/x", &attempt).await?;
-                whole(&answer, &[&near, &far], &attempt)?;
+                ensure_served_by(&answer, &[&near, &far], &attempt)?;
             }
             Ok(told)
         };
         let call = post("/o/x", "old");
         let (old, told) = future::try_zip(house.call(&call), leaves).await?;
-        whole(&old, &[&near], "old")?;
+        ensure_served_by(&old, &[&near], "old")?;
         let late = |run: &&Run| run.arrived > told + ms(900);
         let runs = near.runs();
         let late = runs.iter().filter(late).count();
@@ -180,10 +181,10 @@
         };
         site.declare(&[keyed]);
         site.account("tenant-1", &["secret-1"], 0);
-        let near = site.server(usual(1))?;
-        let far = site.server(usual(2))?;
-        let house = House::open(executor, site).await?;
-        let mut client = Client::open(house.front()).await?;
+        let near = site.server(server_settings(1))?;
+        let far = site.server(server_settings(2))?;
+        let house = Harness::start_ready(executor, site).await?;
+        let mut client = Client::open(house.router_address()).await?;
         for number in 0..12 {
             let attempt = format!("{number}");
             let target = ["/k/x", "/r/x", "/o/x"][number % 3];
@@ -197,7 +198,7 @@
                 .with("X-Dropped", "dropped")
                 .with("Connection", "X-Dropped");
             let answer = client.call(&call).await;
-            whole(&answer, &[&near, &far], &attempt)?;
+            ensure_served_by(&answer, &[&near, &far], &attempt)?;
         }
         for server in [&near, &far] {
             for run in server.runs() {
@@ -227,14 +228,14 @@
 fn a_request_of_a_kept_connection_waits_for_the_one_before() -> Result {
     run(async |executor| {
         let site = site()?;
-        let server = site.server(streaming(1, 3, ms(20)))?;
-        let house = House::open(executor, site).await?;
-        let mut client = Client::open(house.front()).await?;
+        let server = site.server(stream_server_settings(1, 3, ms(20)))?;
+        let house = Harness::start_ready(executor, site).await?;
+        let mut client = Client::open(house.router_address()).await?;
         let calls: Vec<Call> = (0..5)
             .map(|number| Call::new("POST", HOST, "/s/x", &number.to_string()).body(b"question"))
             .collect();
         for (number, answer) in client.pipeline(&calls).await.iter().enumerate() {
-            whole(answer, &[&server], &number.to_string())?;
+            ensure_served_by(answer, &[&server], &number.to_string())?;
         }
         Ok(())
     })
@@ -244,8 +245,8 @@
 fn a_prompt_counts_as_sent_only_over_a_connection() -> Result {
     run(async |executor| {
         let site = site()?;
-        let server = site.server(usual(1))?;
-        let house = House::open(executor, site).await?;
+        let server = site.server(server_settings(1))?;
+        let house = Harness::start_ready(executor, site).await?;
         let parts = [(0x5c1e, 800), (0x91bd, 100)];
         let listed: Vec<String> = parts
             .iter()
@@ -263,16 +264,16 @@
             let (fleet, index) = (&relay.fleet, &relay.traffic.index);
             let service = SERVICE.parse()?;
             let now = tidepier_clock::Instant::now();
-            let places = Places::new(fleet, &service, &prompt, index, &|_| true, now);
-            Ok(places.lacking(Key::new(&id)).tokens())
+            let places = Locations::new(fleet, &service, &prompt, index, &|_| true, now);
+            Ok(places.missing_tokens(Key::new(&id)).tokens())
         };
         let call = |attempt: &str| post("/r/x", attempt).with(names::PROMPT, &listed.join(","));
         server.crash();
-        down(&server).await?;
-        promised(&house.call(&call("down")).await?)?;
+        wait_until_down(&server).await?;
+        ensure_not_executed(&house.call(&call("down")).await?)?;
         ensure!(lacking()? > 0.0, "counts as sent over no connection");
         let again = Server::start_at(server.address(), server.settings().clone())?;
-        until("back", async || {
+        wait_until("back", async || {
             Ok(house.call(&call("back")).await?.status == 200)
         })
         .await?;
--- a/crates/relay/tests/relay/resting.rs
+++ b/crates/relay/tests/relay/resting.rs
@@ -15,15 +15,16 @@
 use tidepier_clock::Instant as Moment;
 use tidepier_core::answer::Answer;
 use tidepier_core::catalog::Cold;
-use tidepier_core::server::Birth;
+use tidepier_core::server::StartTime;
 use tidepier_relay::fleet::{Backend, Said};
 use tidepier_relay::settings::Settings;
 use tidepier_relay_standin::names;
 use tidepier_relay_standin::server::{self, Fault, Run, Server};
 
-use crate::desk::{self, id, Desk};
-use crate::house::{
-    self, ms, pair, promised, run, site, streaming, until, usual, whole, House, Result,
+use crate::choice_harness::{self, id, ChoiceHarness};
+use crate::harness::{
+    self, ensure_not_executed, ensure_served_by, ms, run, server_settings, site,
+    start_with_two_servers, stream_server_settings, wait_until, Harness, Result,
 };
 use crate::sim::{Plan, Sim};
 
@@ -35,13 +36,13 @@
 /// A usual server in the hall of the router, beside the first one.
 fn twin(number: u32) -> server::Settings {
     server::Settings {
-        hall: usual(1).hall,
-        ..usual(number)
+        hall: server_settings(1).hall,
+        ..server_settings(number)
     }
 }
 
 /// Sends requests of all kinds in turn for so long, and counts those that were served.
-pub(crate) async fn ask(house: &House, name: &str, time: Duration) -> Result<(usize, usize)> {
+pub(crate) async fn ask(house: &Harness, name: &str, time: Duration) -> Result<(usize, usize)> {
     let start = Instant::now();
     let (mut sent, mut served) = (0, 0);
     while start.elapsed() < time {
@@ -67,7 +68,7 @@
 #[test]
 fn a_server_that_asks_for_rest_has_it() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor).await?;
+        let (near, far, house) = start_with_two_servers(executor).await?;
         ask(&house, "before", ms(300)).await?;
         near.ask_rest(Some("2.5"));
         near.fault(Fault::Shed, u32::MAX);
@@ -91,9 +92,9 @@
 fn an_idle_server_elsewhere_serves_meanwhile() -> Result {
     run(async |executor| {
         let site = site()?;
-        let near = [site.server(usual(1))?, site.server(twin(7))?];
-        let far = site.server(usual(2))?;
-        let house = House::open(executor, site).await?;
+        let near = [site.server(server_settings(1))?, site.server(twin(7))?];
+        let far = site.server(server_settings(2))?;
+        let house = Harness::start_ready(executor, site).await?;
         for server in &near {
             server.ask_rest(Some("2"));
             server.fault(Fault::Shed, u32::MAX);
@@ -110,17 +111,17 @@
 #[test]
 fn what_cannot_be_placed_is_refused_at_once() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor).await?;
+        let (near, far, house) = start_with_two_servers(executor).await?;
         for server in [&near, &far] {
             server.ask_rest(Some("1.5"));
             server.fault(Fault::Shed, 1);
         }
         // The route allows two servers.
-        promised(&house.post("/r/x", "word").await?)?;
+        ensure_not_executed(&house.post("/r/x", "word").await?)?;
         let told = Instant::now();
         for number in 0..20 {
             let answer = house.post("/r/x", &format!("refused-{number}")).await?;
-            promised(&answer)?;
+            ensure_not_executed(&answer)?;
             ensure!(answer.elapsed < ms(200), "held for {:?}", answer.elapsed);
             let wait: f64 = answer.field(names::RETRY_AFTER).unwrap_or("0").parse()?;
             let left = 1.5 - told.elapsed().as_secs_f64();
@@ -129,7 +130,7 @@
         }
         let reached = near.runs().len() + far.runs().len();
         ensure!(reached == 2, "{reached} reached servers that rest");
-        until("served", async || {
+        wait_until("served", async || {
             Ok(house.post("/r/x", "back").await?.status == 200)
         })
         .await?;
@@ -144,13 +145,13 @@
 fn no_stream_goes_to_a_server_that_rests() -> Result {
     run(async |executor| {
         let site = site()?;
-        let rests = site.server(streaming(1, 20, ms(20)))?;
-        let breaks = site.server(streaming(2, 20, ms(20)))?;
-        let other = site.server(streaming(3, 20, ms(20)))?;
-        let house = House::open(executor, site).await?;
+        let rests = site.server(stream_server_settings(1, 20, ms(20)))?;
+        let breaks = site.server(stream_server_settings(2, 20, ms(20)))?;
+        let other = site.server(stream_server_settings(3, 20, ms(20)))?;
+        let house = Harness::start_ready(executor, site).await?;
         rests.ask_rest(Some("3"));
         rests.fault(Fault::Shed, u32::MAX);
-        until("asked", async || {
+        wait_until("asked", async || {
             house
                 .post("/u/x", &format!("word-{}", other.runs().len()))
                 .await?;
@@ -173,10 +174,10 @@
 #[test]
 fn an_operator_takes_an_hour_back() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor).await?;
+        let (near, far, house) = start_with_two_servers(executor).await?;
         near.ask_rest(Some("3600"));
         near.fault(Fault::Shed, 1);
-        until("asked", async || {
+        wait_until("asked", async || {
             house
                 .post("/o/x", &format!("word-{}", far.runs().len()))
                 .await?;
@@ -192,13 +193,13 @@
             "not seen"
         );
         let woken = |servers: &[&str]| -> Result<Settings> {
-            let mut told = house::settings(&house.site);
+            let mut told = harness::settings(&house.site);
             told["woken"] = servers.to_vec().into();
             Ok(serde_json::from_value(told)?)
         };
-        house.router.take_over(&woken(&["i-9", "i-1"])?);
+        house.router.apply_settings(&woken(&["i-9", "i-1"])?);
         let answer = house.post("/r/x", "back").await?;
-        whole(&answer, &[&near], "back")?;
+        ensure_served_by(&answer, &[&near], "back")?;
         ensure!(woken(&["no id!"]).is_err(), "any text is an id");
         Ok(())
     })
@@ -206,14 +207,14 @@
 
 /// What one box knows of a server, and how an answer of the server changes that.
 struct Ear {
-    desk: Desk,
+    desk: ChoiceHarness,
     server: Rc<Backend>,
     start: Moment,
 }
 
 impl Ear {
     fn new() -> Result<Self> {
-        let desk = Desk::new("hall-1", [1, 2])?;
+        let desk = ChoiceHarness::new("hall-1", [1, 2])?;
         let server = desk.backend(&id("i-1")?)?;
         let start = desk.start;
         Ok(Self {
@@ -234,11 +235,11 @@
         };
         self.desk
             .fleet
-            .hear(&self.server, &answer, self.start + ms(at))
+            .apply_answer(&self.server, &answer, self.start + ms(at))
     }
 
     fn rests(&self, at: u64) -> bool {
-        self.server.rests(self.start + ms(at))
+        self.server.is_backing_off(self.start + ms(at))
     }
 }
 
@@ -260,7 +261,7 @@
     };
     ear.desk
         .fleet
-        .hear(&ear.server, &success, ear.start + ms(300));
+        .apply_answer(&ear.server, &success, ear.start + ms(300));
     ensure!(ear.rests(5_199), "the end of an older request took it back");
     ensure!(!ear.rests(5_200), "longer than asked for");
     Ok(())
@@ -277,19 +278,25 @@
     fleet.announce(server.clone(), ear.start + ms(100));
     let back = ear.desk.backend(&server.id)?;
     ensure!(
-        back.rests(ear.start + ms(1_000)),
+        back.is_backing_off(ear.start + ms(1_000)),
         "the entry's return ended it"
     );
     fleet.announce(server.clone(), ear.start + ms(200));
-    ensure!(back.rests(ear.start + ms(1_000)), "an entry ended it");
+    ensure!(
+        back.is_backing_off(ear.start + ms(1_000)),
+        "an entry ended it"
+    );
     let born = |birth| tidepier_core::server::Server {
-        born: Some(Birth(birth)),
+        born: Some(StartTime(birth)),
         ..server.clone()
     };
     fleet.announce(born(7), ear.start + ms(300));
     fleet.announce(born(8), ear.start + ms(400));
     let new = ear.desk.backend(&server.id)?;
-    ensure!(!new.rests(ear.start + ms(1_000)), "a new life rests");
+    ensure!(
+        !new.is_backing_off(ear.start + ms(1_000)),
+        "a new life rests"
+    );
     Ok(())
 }
 
@@ -299,7 +306,7 @@
     let (ear, other) = (Ear::new()?, Ear::new()?);
     ear.turned(0, 3_000);
     ensure!(ear.rests(10) && !other.rests(10), "of another box too");
-    ensure!(ear.server.health.is_sound(), "counted as a failure");
+    ensure!(ear.server.health.last_succeeded(), "counted as a failure");
     ensure!(
         ear.server.health.failure_rate(Moment::now()) == 0.0,
         "counted as a failure"
@@ -310,8 +317,8 @@
 /// A subject goes back to the server that keeps it.
 #[test]
 fn a_subject_comes_back_after_the_rest() -> Result {
-    let desk = Desk::new("hall-1", 1..=6)?;
-    let prompt = desk::prompt(5, desk::LARGE);
+    let desk = ChoiceHarness::new("hall-1", 1..=6)?;
+    let prompt = choice_harness::prompt(5, choice_harness::LARGE);
     let keeper = desk.send(&prompt)?;
     let turned = Answer {
         status: 503,
@@ -319,7 +326,7 @@
         retry_after: Some(ms(60)),
         ..Answer::default()
     };
-    desk.fleet.hear(&keeper, &turned, Moment::now());
+    desk.fleet.apply_answer(&keeper, &turned, Moment::now());
     let meanwhile = desk.choose(Some(&prompt), &[])?;
     ensure!(meanwhile.backend.key != keeper.key, "sent while it rests");
     std::thread::sleep(ms(90));
--- a/crates/relay/tests/relay/returned.rs
+++ b/crates/relay/tests/relay/returned.rs
@@ -17,9 +17,12 @@
 use tidepier_relay_standin::site::Site;
 use tidepier_relay_standin::store::{Copy, Down};
 
+use crate::box_harness::{self, ready, site_with_keys, started, TestBox, BOXES, REVOKE_TIME};
 use crate::eras::drill;
-use crate::hall::{self, keyed, ready, started, Machine, BOXES, REVOKE_TIME};
-use crate::house::{ms, pair, run, single, site, until, usual, whole, House, Result, SERVICE};
+use crate::harness::{
+    ensure_served_by, ms, run, server_settings, site, start_with_one_server,
+    start_with_two_servers, wait_until, Harness, Result, SERVICE,
+};
 
 /// Time in which servers have written again what the store lost.
 const REWRITE_TIME: Duration = Duration::from_millis(2_000);
@@ -27,20 +30,20 @@
 const SILENCE_TIME: Duration = Duration::from_millis(4_800);
 
 /// Sends requests for a while; all of them are answered by one of these servers.
-async fn served_by(house: &House, servers: &[&Server], time: Duration) -> Result {
+async fn served_by(house: &Harness, servers: &[&Server], time: Duration) -> Result {
     let start = Instant::now();
     while start.elapsed() < time {
         for path in ["/r/x", "/s/x"] {
             let attempt = format!("{path}-{:?}", start.elapsed());
-            whole(&house.post(path, &attempt).await?, servers, &attempt)?;
+            ensure_served_by(&house.post(path, &attempt).await?, servers, &attempt)?;
         }
         Timer::after(ms(10)).await;
     }
     Ok(())
 }
 
-async fn forgotten(house: &House, server: &Server) -> Result {
-    until("forgotten", async || Ok(!house.knows(server))).await
+async fn forgotten(house: &Harness, server: &Server) -> Result {
+    wait_until("forgotten", async || Ok(!house.knows(server))).await
 }
 
 /// Guards against requests to a server that left before the store went back, and whose
@@ -49,7 +52,7 @@
 fn a_server_that_had_left_gets_nothing_by_the_copy() -> Result {
     for outage in [true, false] {
         run(async |executor| {
-            let (near, far, house) = pair(executor).await?;
+            let (near, far, house) = start_with_two_servers(executor).await?;
             let copy = house.site.store.copy();
             house.site.withdraw(&far);
             forgotten(&house, &far).await?;
@@ -77,12 +80,12 @@
 #[test]
 fn a_server_that_leaves_gets_nothing_by_the_copy() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor).await?;
+        let (near, far, house) = start_with_two_servers(executor).await?;
         let copy = house.site.store.copy();
         house.site.announce(&far, State::Draining);
         let id = far.settings().id.parse()?;
         let fleet = &house.router.relay().fleet;
-        until("leaving", async || {
+        wait_until("leaving", async || {
             Ok(fleet
                 .get(&id)
                 .is_some_and(|it| it.word().leaving().is_some()))
@@ -102,11 +105,11 @@
 fn a_server_that_joined_after_the_copy_has_two_seconds() -> Result {
     for outage in [true, false] {
         run(async |executor| {
-            let (near, house) = single(executor).await?;
+            let (near, house) = start_with_one_server(executor).await?;
             let copy = house.site.store.copy();
-            let again = house.site.server(usual(2))?;
-            let silent = house.site.server(usual(3))?;
-            until("joined", async || {
+            let again = house.site.server(server_settings(2))?;
+            let silent = house.site.server(server_settings(3))?;
+            wait_until("joined", async || {
                 Ok(house.knows(&again) && house.knows(&silent))
             })
             .await?;
@@ -130,7 +133,7 @@
 #[test]
 fn a_server_that_writes_again_after_the_return_is_used_at_once() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor).await?;
+        let (near, far, house) = start_with_two_servers(executor).await?;
         let copy = house.site.store.copy();
         house.site.withdraw(&far);
         forgotten(&house, &far).await?;
@@ -139,7 +142,7 @@
         ensure!(!house.knows(&far), "by the copy alone");
         house.site.announce(&far, State::Ready);
         let since = Instant::now();
-        until("known", async || Ok(house.knows(&far))).await?;
+        wait_until("known", async || Ok(house.knows(&far))).await?;
         ensure!(since.elapsed() < ms(1_000), "{:?}", since.elapsed());
         served_by(&house, &[&near, &far], ms(200)).await
     })
@@ -150,13 +153,13 @@
 #[test]
 fn a_server_that_stays_in_the_copy_is_used_after_a_while() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor).await?;
+        let (near, far, house) = start_with_two_servers(executor).await?;
         let copy = house.site.store.copy();
         house.site.withdraw(&far);
         forgotten(&house, &far).await?;
         let back = Instant::now();
         drill(&house.site, &copy).await;
-        until("known", async || Ok(house.knows(&far))).await?;
+        wait_until("known", async || Ok(house.knows(&far))).await?;
         ensure!(back.elapsed() > SILENCE_TIME, "{:?}", back.elapsed());
         ensure!(
             back.elapsed() < SILENCE_TIME + ms(1_500),
@@ -172,7 +175,7 @@
 #[test]
 fn a_former_life_in_the_copy_does_not_end_the_present_one() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor).await?;
+        let (near, far, house) = start_with_two_servers(executor).await?;
         let born = |birth: u64| {
             house
                 .site
@@ -184,10 +187,10 @@
         let id = far.settings().id.parse()?;
         let fleet = &house.router.relay().fleet;
         let life = || fleet.get(&id).and_then(|it| it.born()).map(|born| born.0);
-        until("born", async || Ok(life() == Some(1))).await?;
+        wait_until("born", async || Ok(life() == Some(1))).await?;
         let copy = house.site.store.copy();
         born(2);
-        until("born again", async || Ok(life() == Some(2))).await?;
+        wait_until("born again", async || Ok(life() == Some(2))).await?;
         drill(&house.site, &copy).await;
         let back = Instant::now();
         while back.elapsed() < REWRITE_TIME {
@@ -207,32 +210,32 @@
 #[test]
 fn a_hall_that_was_emptied_stays_so_until_the_operator_could_write_again() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let near = site.server(usual(1))?;
-        let far = site.server(usual(2))?;
+        let site = site_with_keys()?;
+        let near = site.server(server_settings(1))?;
+        let far = site.server(server_settings(2))?;
         let machines = started(&executor, &site, 2).await?;
         let copy = site.store.copy();
         site.empty_hall("hall-1");
         for machine in &machines {
-            until("emptied", async || Ok(!machine.serves_by(&near)?)).await?;
+            wait_until("emptied", async || Ok(!machine.sends_to(&near)?)).await?;
         }
         let back = Instant::now();
         drill(&site, &copy).await;
         while back.elapsed() < REVOKE_TIME - ms(200) {
             for machine in &machines {
-                ensure!(!machine.serves_by(&near)?, "after {:?}", back.elapsed());
+                ensure!(!machine.sends_to(&near)?, "after {:?}", back.elapsed());
             }
             Timer::after(ms(20)).await;
         }
         site.empty_hall("hall-1");
         Timer::after(REVOKE_TIME).await;
         for machine in &machines {
-            ensure!(!machine.serves_by(&near)?, "it was written again");
-            ensure!(machine.serves_by(&far)?, "the other hall");
+            ensure!(!machine.sends_to(&near)?, "it was written again");
+            ensure!(machine.sends_to(&far)?, "the other hall");
         }
         site.take_back("hall-1");
         for machine in &machines {
-            until("given back", async || machine.serves_by(&near)).await?;
+            wait_until("given back", async || machine.sends_to(&near)).await?;
         }
         ready(&machines).await
     })
@@ -243,23 +246,23 @@
 #[test]
 fn a_box_that_starts_holds_empty_what_others_do() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let near = site.server(usual(1))?;
-        let _far = site.server(usual(2))?;
+        let site = site_with_keys()?;
+        let near = site.server(server_settings(1))?;
+        let _far = site.server(server_settings(2))?;
         let machines = started(&executor, &site, 2).await?;
         let copy = site.store.copy();
         site.empty_hall("hall-1");
         for machine in &machines {
-            until("emptied", async || Ok(!machine.serves_by(&near)?)).await?;
+            wait_until("emptied", async || Ok(!machine.sends_to(&near)?)).await?;
         }
         drill(&site, &copy).await;
         let back = Instant::now();
-        let starts = Machine::start(&executor, &site, "box-9", "hall-1", 9_000).await?;
+        let starts = TestBox::start(&executor, &site, "box-9", "hall-1", 9_000).await?;
         while back.elapsed() < REVOKE_TIME - ms(200) {
             let ready = starts.router.relay().standing.may_begin();
             let known = starts.router.relay().view.catalog().is_some();
             ensure!(
-                !(ready && known && starts.serves_by(&near)?),
+                !(ready && known && starts.sends_to(&near)?),
                 "after {:?}",
                 back.elapsed()
             );
@@ -273,19 +276,19 @@
 #[test]
 fn a_hall_whose_emptying_is_not_written_again_is_used_after_a_while() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let near = site.server(usual(1))?;
-        let _far = site.server(usual(2))?;
+        let site = site_with_keys()?;
+        let near = site.server(server_settings(1))?;
+        let _far = site.server(server_settings(2))?;
         let machines = started(&executor, &site, 2).await?;
         let copy = site.store.copy();
         site.empty_hall("hall-1");
         for machine in &machines {
-            until("emptied", async || Ok(!machine.serves_by(&near)?)).await?;
+            wait_until("emptied", async || Ok(!machine.sends_to(&near)?)).await?;
         }
         let back = Instant::now();
         drill(&site, &copy).await;
         for machine in &machines {
-            until("given back", async || machine.serves_by(&near)).await?;
+            wait_until("given back", async || machine.sends_to(&near)).await?;
         }
         let took = back.elapsed();
         ensure!(took < REVOKE_TIME + ms(2_500), "{took:?}");
@@ -298,14 +301,14 @@
 #[test]
 fn a_hall_is_used_again_after_a_return_that_follows_another() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let near = site.server(usual(1))?;
-        let _far = site.server(usual(2))?;
+        let site = site_with_keys()?;
+        let near = site.server(server_settings(1))?;
+        let _far = site.server(server_settings(2))?;
         let machines = started(&executor, &site, 2).await?;
         let copy = site.store.copy();
         site.empty_hall("hall-1");
         for machine in &machines {
-            until("emptied", async || Ok(!machine.serves_by(&near)?)).await?;
+            wait_until("emptied", async || Ok(!machine.sends_to(&near)?)).await?;
         }
         drill(&site, &copy).await;
         Timer::after(REVOKE_TIME - ms(300)).await;
@@ -316,9 +319,9 @@
         site.store.faults(|faults| faults.down = None);
         let back = Instant::now();
         // One that starts hears of the hall from those beside it.
-        let starts = Machine::start(&executor, &site, "box-9", "hall-1", 9_000).await?;
+        let starts = TestBox::start(&executor, &site, "box-9", "hall-1", 9_000).await?;
         for machine in machines.iter().chain([&starts]) {
-            until("given back", async || machine.serves_by(&near)).await?;
+            wait_until("given back", async || machine.sends_to(&near)).await?;
         }
         let took = back.elapsed();
         ensure!(took < REVOKE_TIME + ms(2_500), "{took:?}");
@@ -331,17 +334,17 @@
 #[test]
 fn a_hall_is_used_again_by_a_box_that_stood_still_between_two_returns() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let near = site.server(usual(1))?;
-        let _far = site.server(usual(2))?;
+        let site = site_with_keys()?;
+        let near = site.server(server_settings(1))?;
+        let _far = site.server(server_settings(2))?;
         let machines = started(&executor, &site, 1).await?;
         let machine = &machines[0];
         let copy = site.store.copy();
         site.empty_hall("hall-1");
-        until("emptied", async || Ok(!machine.serves_by(&near)?)).await?;
+        wait_until("emptied", async || Ok(!machine.sends_to(&near)?)).await?;
         drill(&site, &copy).await;
         let era = site.store.era();
-        until("noticed", async || {
+        wait_until("noticed", async || {
             let known = machine.router.relay().standing.era();
             Ok(known.is_some_and(|known| known.0 == era))
         })
@@ -352,7 +355,7 @@
         Timer::after(REVOKE_TIME + ms(600)).await;
         machine.freeze(false);
         let thawed = Instant::now();
-        until("given back", async || machine.serves_by(&near)).await?;
+        wait_until("given back", async || machine.sends_to(&near)).await?;
         let took = thawed.elapsed();
         ensure!(took < REVOKE_TIME + ms(2_500), "{took:?}");
         Ok(())
@@ -364,13 +367,13 @@
 #[test]
 fn a_hall_that_was_taken_back_unheard_is_used_at_once_after_a_return() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let near = site.server(usual(1))?;
-        let _far = site.server(usual(2))?;
+        let site = site_with_keys()?;
+        let near = site.server(server_settings(1))?;
+        let _far = site.server(server_settings(2))?;
         let machines = started(&executor, &site, 1).await?;
         let machine = &machines[0];
         site.empty_hall("hall-1");
-        until("emptied", async || Ok(!machine.serves_by(&near)?)).await?;
+        wait_until("emptied", async || Ok(!machine.sends_to(&near)?)).await?;
         machine.freeze(true);
         site.take_back("hall-1");
         let copy = site.store.copy();
@@ -379,7 +382,7 @@
         site.store.go_back(&copy);
         machine.freeze(false);
         let thawed = Instant::now();
-        until("used", async || machine.serves_by(&near)).await?;
+        wait_until("used", async || machine.sends_to(&near)).await?;
         ensure!(thawed.elapsed() < ms(2_000), "{:?}", thawed.elapsed());
         Ok(())
     })
@@ -389,35 +392,35 @@
 #[test]
 fn a_hall_that_was_taken_back_is_not_emptied_by_the_copy() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let near = site.server(usual(1))?;
-        let far = site.server(usual(2))?;
+        let site = site_with_keys()?;
+        let near = site.server(server_settings(1))?;
+        let far = site.server(server_settings(2))?;
         site.empty_hall("hall-1");
         let machines = started(&executor, &site, 2).await?;
         let copy = site.store.copy();
         site.take_back("hall-1");
         for machine in &machines {
-            until("given back", async || machine.serves_by(&near)).await?;
+            wait_until("given back", async || machine.sends_to(&near)).await?;
         }
         let back = tidepier_clock::Instant::now();
         drill(&site, &copy).await;
         while back.elapsed() < REVOKE_TIME - ms(200) {
             for machine in &machines {
-                ensure!(machine.serves_by(&near)?, "after {:?}", back.elapsed());
+                ensure!(machine.sends_to(&near)?, "after {:?}", back.elapsed());
             }
             Timer::after(ms(20)).await;
         }
         site.account("tenant-2", &["new"], 1);
-        until("proven", async || {
-            let proven = |machine: &Machine| machine.proven().is_some_and(|at| at > back);
+        wait_until("proven", async || {
+            let proven = |machine: &TestBox| machine.proven().is_some_and(|at| at > back);
             Ok(machines.iter().all(proven))
         })
         .await?;
-        hall::served(&machines, &[&near, &far], ms(200)).await
+        box_harness::served(&machines, &[&near, &far], ms(200)).await
     })
 }
 
-fn status(house: &House) -> Result<Option<String>> {
+fn status(house: &Harness) -> Result<Option<String>> {
     let value = house.site.store.value(&format!("status/rollout/{SERVICE}"));
     let Some(value) = value else {
         return Ok(None);
@@ -426,17 +429,17 @@
     Ok(value["state"].as_str().map(str::to_owned))
 }
 
-fn order(house: &House) {
+fn order(house: &Harness) {
     let order = json!({ "service": SERVICE, "target_version": "v2", "duration_s": 20.0 });
     let key = format!("op/rollout/{SERVICE}");
     house.site.store.put(&key, &order);
 }
 
 /// A box with a release that fails, and the servers of that release.
-async fn failing(house: &House) -> Result<Vec<Server>> {
+async fn failing(house: &Harness) -> Result<Vec<Server>> {
     let mut servers = Vec::new();
     for number in 11..17 {
-        let server = Server::start(usual(number))?;
+        let server = Server::start(server_settings(number))?;
         let address = server.address();
         house
             .site
@@ -446,14 +449,14 @@
         server.fault(Fault::Failure, u32::MAX);
         servers.push(server);
     }
-    until("joined", async || {
+    wait_until("joined", async || {
         Ok(servers.iter().all(|server| house.knows(server)))
     })
     .await?;
     Ok(servers)
 }
 
-async fn rolled_back(house: &House) -> Result {
+async fn rolled_back(house: &Harness) -> Result {
     let start = Instant::now();
     while status(house)?.as_deref() != Some("rolled_back") {
         ensure!(start.elapsed() < ms(8_000), "never rolled back");
@@ -472,15 +475,18 @@
     for behind_order in [false, true] {
         run(async |executor| {
             let site = site()?;
-            let _old = [site.server(usual(1))?, site.server(usual(2))?];
-            let house = House::with(executor, site, |told| {
+            let _old = [
+                site.server(server_settings(1))?,
+                site.server(server_settings(2))?,
+            ];
+            let house = Harness::start_with_settings(executor, site, |told| {
                 told["bounds"]["exposure_share"] = json!(0.4);
             })
             .await?;
             let servers = failing(&house).await?;
             let before = house.site.store.copy();
             order(&house);
-            until("in progress", async || Ok(status(&house)?.is_some())).await?;
+            wait_until("in progress", async || Ok(status(&house)?.is_some())).await?;
             let begun = house.site.store.copy();
             rolled_back(&house).await?;
             let got = || -> usize { servers.iter().map(|server| server.runs().len()).sum() };
@@ -495,7 +501,7 @@
             if behind_order {
                 order(&house);
             }
-            until("written again", async || {
+            wait_until("written again", async || {
                 number += 1;
                 house.post("/r/x", &format!("after-{number}")).await?;
                 Ok(status(&house)?.as_deref() == Some("rolled_back"))
@@ -520,8 +526,8 @@
 #[test]
 fn boxes_that_the_copy_lacks_are_registered_again() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let server = site.server(usual(1))?;
+        let site = site_with_keys()?;
+        let server = site.server(server_settings(1))?;
         let copy = site.store.copy();
         let machines = started(&executor, &site, 4).await?;
         let before = site.store.keys(BOXES).len();
@@ -529,11 +535,11 @@
         let calls: u64 = site.store.all_calls().values().sum();
         drill(&site, &copy).await;
         ensure!(site.store.keys(BOXES).is_empty());
-        until("registered", async || Ok(site.store.keys(BOXES).len() == 4)).await?;
+        wait_until("registered", async || Ok(site.store.keys(BOXES).len() == 4)).await?;
         let made = site.store.all_calls().values().sum::<u64>() - calls;
         // Each box: its entry, a lease, a write; the readers what they read and prove.
         ensure!(made < 80, "{made} calls");
-        hall::served(&machines, &[&server], ms(300)).await
+        box_harness::served(&machines, &[&server], ms(300)).await
     })
 }
 
@@ -541,28 +547,28 @@
 #[test]
 fn a_box_of_the_former_era_is_not_followed() -> Result {
     run(async |executor| {
-        let site = keyed()?;
-        let server = site.server(usual(1))?;
+        let site = site_with_keys()?;
+        let server = site.server(server_settings(1))?;
         let machines = started(&executor, &site, 3).await?;
         let copy = site.store.copy();
         let known = site.account("tenant-2", &["newer"], 1);
-        let version = |machine: &Machine| machine.router.relay().view.version().0;
-        until("in force", async || {
+        let version = |machine: &TestBox| machine.router.relay().view.version().0;
+        wait_until("in force", async || {
             Ok(machines.iter().all(|it| version(it) == known))
         })
         .await?;
         machines[0].store.silence();
         site.store.go_back(&copy);
         let newest = site.account("tenant-2", &["newest"], 1);
-        until("in force", async || {
+        wait_until("in force", async || {
             Ok(machines[1..].iter().all(|it| version(it) == newest))
         })
         .await?;
         // The first one answers the others again, as soon as it hears of the return.
         machines[0].store.mend();
-        until("in force", async || Ok(version(&machines[0]) == newest)).await?;
+        wait_until("in force", async || Ok(version(&machines[0]) == newest)).await?;
         let mended = Instant::now();
-        until("proven", async || {
+        wait_until("proven", async || {
             let proven = machines[0].proven();
             Ok(proven.is_some_and(|at| at.elapsed() < ms(500)))
         })
@@ -573,7 +579,7 @@
             for machine in &machines {
                 ensure!(version(machine) == newest, "{}", version(machine));
             }
-            hall::served(&machines, &[&server], ms(50)).await?;
+            box_harness::served(&machines, &[&server], ms(50)).await?;
         }
         Ok(())
     })
@@ -583,7 +589,7 @@
 #[test]
 fn strange_entries_of_the_copy_name_no_server() -> Result {
     run(async |executor| {
-        let (near, house) = single(executor).await?;
+        let (near, house) = start_with_one_server(executor).await?;
         house
             .site
             .store
--- a/crates/relay/tests/relay/returns.rs
+++ b/crates/relay/tests/relay/returns.rs
@@ -13,8 +13,8 @@
 use tidepier_relay_standin::site::Site;
 use tidepier_relay_standin::store::Down;
 
-use crate::hall::{keyed, Machine, APPLY_TIME};
-use crate::house::{ms, run, until, usual, Executor, Result, SERVICE};
+use crate::box_harness::{site_with_keys, TestBox, APPLY_TIME};
+use crate::harness::{ms, run, server_settings, wait_until, Executor, Result, SERVICE};
 
 /// Servers that are announced, beside one that is there.
 const SERVERS: u32 = 200;
@@ -50,16 +50,16 @@
 }
 
 async fn play(executor: &Executor, boxes: u32, halls: u32, servers: u32) -> Result<Cost> {
-    let site = keyed()?;
-    let _server = site.server(usual(1))?;
+    let site = site_with_keys()?;
+    let _server = site.server(server_settings(1))?;
     announce(&site, servers);
     let mut machines = Vec::new();
     for number in 0..boxes {
         let (name, hall) = (format!("box-{number}"), format!("hall-{}", number % halls));
-        machines.push(Machine::start(executor, &site, &name, &hall, 1_000).await?);
+        machines.push(TestBox::start(executor, &site, &name, &hall, 1_000).await?);
     }
     let start = Instant::now();
-    while !machines.iter().all(Machine::is_ready) {
+    while !machines.iter().all(TestBox::is_ready) {
         ensure!(start.elapsed() < START_TIME, "never ready");
         Timer::after(ms(20)).await;
     }
@@ -75,11 +75,11 @@
     site.store.faults(|faults| faults.down = None);
     let back = Instant::now();
     site.account("tenant-2", &["new"], 1);
-    let recent = |machine: &Machine| {
+    let recent = |machine: &TestBox| {
         let proven = machine.proven();
         proven.is_some_and(|at| at.elapsed() < back.elapsed())
     };
-    until("settled", async || Ok(machines.iter().all(recent))).await?;
+    wait_until("settled", async || Ok(machines.iter().all(recent))).await?;
     let settled = back.elapsed();
     Timer::after(ms(1_500)).await;
     let made = site.store.all_calls().into_iter().map(|(name, count)| {
--- a/crates/relay/tests/relay/rollouts.rs
+++ b/crates/relay/tests/relay/rollouts.rs
@@ -19,13 +19,13 @@
 use tidepier_relay::fleet::Key;
 use tidepier_relay::rollout::evidence::{Answer, Evidence, Outcome};
 use tidepier_relay::rollout::judge;
-use tidepier_relay::rollout::plan::{self, Look, Step};
+use tidepier_relay::rollout::plan::{self, Observation, Step};
 use tidepier_relay::rollout::stage::Stage;
-use tidepier_relay::rollout::{Aim, Rollouts};
+use tidepier_relay::rollout::{Rollouts, Selector};
 use tidepier_relay_standin::server::{Fault, Server};
 
-use crate::desk::{id, server};
-use crate::house::{ms, run, site, until, usual, House, Result, SERVICE};
+use crate::choice_harness::{id, server};
+use crate::harness::{ms, run, server_settings, site, wait_until, Harness, Result, SERVICE};
 
 /// The order.
 const ORDER: Revision = Revision::of(7);
@@ -157,13 +157,13 @@
             server: key(number + if target { 1_000 } else { 0 })?,
             outcome,
         };
-        evidence.note(&answer, start + at);
+        evidence.record_answer(&answer, start + at);
         if at - looked < LOOK {
             continue;
         }
         looked = at;
         let rows = evidence.all(start + at);
-        let look = Look {
+        let look = Observation {
             stage,
             elapsed: at,
             staged: at - staged,
@@ -172,10 +172,10 @@
             fault: judge::judge(&rows, ORDER),
             answers: judge::answers(&rows, ORDER),
             idle: at - staged,
-            bearable: SHARE,
+            max_exposure: SHARE,
         };
         let (state, share) = match plan::step(&look) {
-            Step::Stay | Step::Again => continue,
+            Step::Wait | Step::Rewrite => continue,
             Step::Share(share) => (State::InProgress, share),
             Step::Complete => (State::Completed, 1.0),
             Step::RollBack => (State::RolledBack, 0.0),
@@ -261,9 +261,9 @@
     }
 }
 
-fn aim(rollouts: &Rollouts, again: bool, now: Instant) -> Result<Aim> {
+fn aim(rollouts: &Rollouts, again: bool, now: Instant) -> Result<Selector> {
     let service = id(SERVICE)?;
-    Ok(rollouts.aim(&service, again, ms(2_500), |_| 60, now))
+    Ok(rollouts.release_selector(&service, again, ms(2_500), |_| 60, now))
 }
 
 /// However few requests each box has, all of them together keep within the share.
@@ -282,7 +282,7 @@
                 Revision::of(6),
                 now,
             );
-            rollouts.prove(now);
+            rollouts.confirm_at(now);
             for _ in 0..each {
                 got += u64::from(aim(&rollouts, false, now)?.is_trial());
             }
@@ -298,7 +298,7 @@
     let rollouts = Rollouts::default();
     let now = Instant::now();
     rollouts.order(order("v2")?, Revision::of(5), None, now);
-    let others = Aim::Others("v2".parse()?);
+    let others = Selector::Others("v2".parse()?);
     ensure!(
         aim(&rollouts, false, now)? == others,
         "an order without a stage"
@@ -310,13 +310,13 @@
         now,
     );
     ensure!(aim(&rollouts, false, now)? == others, "never proven");
-    rollouts.prove(now);
+    rollouts.confirm_at(now);
     ensure!(aim(&rollouts, false, now)? != others, "proven");
     ensure!(
         aim(&rollouts, false, now + ms(3_000))? == others,
         "an old proof"
     );
-    rollouts.prove(now + ms(3_000));
+    rollouts.confirm_at(now + ms(3_000));
     rollouts.stage(
         &id(SERVICE)?,
         stage(5, State::RolledBack, 0.0),
@@ -352,15 +352,15 @@
         Revision::of(21),
         now,
     );
-    let others = Aim::Others("v3".parse()?);
+    let others = Selector::Others("v3".parse()?);
     for _ in 0..20 {
         ensure!(
             aim(&rollouts, true, now + ms(3_000))? == others,
             "sent again"
         );
     }
-    rollouts.take_back(&id(SERVICE)?, Revision::of(30));
-    ensure!(aim(&rollouts, false, now)? == Aim::Any, "taken back");
+    rollouts.cancel(&id(SERVICE)?, Revision::of(30));
+    ensure!(aim(&rollouts, false, now)? == Selector::Any, "taken back");
     Ok(())
 }
 
@@ -396,7 +396,7 @@
     let known = second.of(&id(SERVICE)?).ok_or_else(|| eyre!("unknown"))?;
     ensure!(known.state() == State::RolledBack, "{}", known.state());
     // An order that was taken back does not come back by an older list.
-    first.take_back(&id(SERVICE)?, Revision::of(12));
+    first.cancel(&id(SERVICE)?, Revision::of(12));
     second.merge(&first.list(now), None, now);
     second.merge(&older, None, now);
     ensure!(second.of(&id(SERVICE)?).is_none(), "came back");
@@ -406,12 +406,12 @@
 #[test]
 fn so_few_servers_are_tried_that_they_have_as_much_to_do_as_later() -> Result {
     let target: Release = "v2".parse()?;
-    let of = |part| Aim::Target {
+    let of = |part| Selector::Target {
         release: target.clone(),
         part,
         order: 5,
     };
-    let admitted = |aim: &Aim| -> Result<usize> {
+    let admitted = |aim: &Selector| -> Result<usize> {
         let mut count = 0;
         for number in 0..200 {
             let release = Some(if number < 100 {
@@ -430,27 +430,30 @@
     ensure!(admitted(&of(1.0))? == 100, "not all");
     let tried = admitted(&of(0.1))?;
     ensure!((3..=25).contains(&tried), "{tried} of 100");
-    ensure!(admitted(&Aim::Others(target.clone()))? == 100, "others");
+    ensure!(
+        admitted(&Selector::Others(target.clone()))? == 100,
+        "others"
+    );
     Ok(())
 }
 
 /// Writes the operator's order, and returns what it is told.
-fn status(house: &House) -> Option<String> {
+fn status(house: &Harness) -> Option<String> {
     let key = format!("status/rollout/{SERVICE}");
     let value = house.site.store.value(&key)?;
     let value: Value = serde_json::from_slice(&value).ok()?;
     Some(value["state"].as_str()?.to_owned())
 }
 
-fn start(house: &House, within_s: f64) {
+fn start(house: &Harness, within_s: f64) {
     let key = format!("op/rollout/{SERVICE}");
     let order = json!({ "service": SERVICE, "target_version": "v2", "duration_s": within_s });
     house.site.store.put(&key, &order);
 }
 
 /// A server of the new release.
-fn newer(house: &House, number: u32) -> Result<Server> {
-    let server = Server::start(usual(number))?;
+fn newer(house: &Harness, number: u32) -> Result<Server> {
+    let server = Server::start(server_settings(number))?;
     let (address, state) = (server.address(), server::State::Ready);
     house.site.announce_with(&server, address, state, |entry| {
         entry["version"] = "v2".into()
@@ -459,7 +462,7 @@
 }
 
 /// Sends requests until the operator is told something; returns what.
-async fn told(house: &House, count: usize) -> Result<String> {
+async fn told(house: &Harness, count: usize) -> Result<String> {
     for number in 0..count {
         house.post("/r/x", &format!("{number}")).await?;
         Timer::after(ms(4)).await;
@@ -475,8 +478,11 @@
 fn a_bad_release_is_rolled_back_and_gets_nothing_more() -> Result {
     run(async |executor| {
         let site = site()?;
-        let old = [site.server(usual(1))?, site.server(usual(2))?];
-        let house = House::with(executor, site, |told| {
+        let old = [
+            site.server(server_settings(1))?,
+            site.server(server_settings(2))?,
+        ];
+        let house = Harness::start_with_settings(executor, site, |told| {
             told["bounds"]["exposure_share"] = json!(0.4);
         })
         .await?;
@@ -486,7 +492,7 @@
             .iter()
             .for_each(|server| server.fault(Fault::Failure, u32::MAX));
         start(&house, 20.0);
-        until("in progress", async || Ok(status(&house).is_some())).await?;
+        wait_until("in progress", async || Ok(status(&house).is_some())).await?;
         let state = told(&house, 1_200).await?;
         ensure!(state == "rolled_back", "{state}");
         let before: usize = servers.iter().map(|server| server.runs().len()).sum();
@@ -510,8 +516,11 @@
 fn a_good_release_takes_the_service_over() -> Result {
     run(async |executor| {
         let site = site()?;
-        let old = [site.server(usual(1))?, site.server(usual(2))?];
-        let house = House::with(executor, site, |told| {
+        let old = [
+            site.server(server_settings(1))?,
+            site.server(server_settings(2))?,
+        ];
+        let house = Harness::start_with_settings(executor, site, |told| {
             told["bounds"]["exposure_share"] = json!(0.4);
         })
         .await?;
