--- a/crates/relay/tests/relay/sendings.rs
+++ b/crates/relay/tests/relay/sendings.rs
@@ -8,9 +8,10 @@
 use tidepier_relay_standin::server::{Fault, Outcome, Server, Settings};
 use tidepier_relay_standin::site::{Route, Site};
 
-use crate::house::{
-    arrived, down, ms, pair, post, promised, ran, run, single, site, until, usual, whole, House,
-    Result, SERVICE,
+use crate::harness::{
+    count_deliveries, count_runs, ensure_not_executed, ensure_served_by, ms, post, run,
+    server_settings, site, start_with_one_server, start_with_two_servers, wait_until,
+    wait_until_down, Harness, Result, SERVICE,
 };
 
 /// A route that allows three servers.
@@ -32,7 +33,7 @@
 /// So many servers of a site.
 fn servers(site: &Site, count: u32) -> Result<Vec<Server>> {
     (1..=count)
-        .map(|number| Ok(site.server(usual(number))?))
+        .map(|number| Ok(site.server(server_settings(number))?))
         .collect()
 }
 
@@ -41,8 +42,8 @@
     let address = server.address();
     drop(server);
     let mut other = None;
-    until("free", async || {
-        other = Server::start_at(address, usual(3)).ok();
+    wait_until("free", async || {
+        other = Server::start_at(address, server_settings(3)).ok();
         Ok(other.is_some())
     })
     .await?;
@@ -52,7 +53,7 @@
 #[test]
 fn a_once_only_request_whose_answer_is_lost_runs_once() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor).await?;
+        let (near, far, house) = start_with_two_servers(executor).await?;
         for fault in [Fault::LostAnswer, Fault::Reset, Fault::Garbage] {
             for target in ["/o/x", "/u/x"] {
                 near.fault(fault, u32::MAX);
@@ -60,7 +61,7 @@
                 let attempt = format!("{fault:?}{target}");
                 let answer = house.post(target, &attempt).await?;
                 ensure!(answer.status == 502, "{answer:?}");
-                let sent = arrived(&[&near, &far], &attempt);
+                let sent = count_deliveries(&[&near, &far], &attempt);
                 ensure!(sent == 1, "{attempt} was sent {sent} times");
             }
         }
@@ -71,13 +72,13 @@
 #[test]
 fn a_once_only_request_that_failed_keeps_its_answer() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor).await?;
+        let (near, far, house) = start_with_two_servers(executor).await?;
         near.fault(Fault::Failure, u32::MAX);
         far.fault(Fault::Failure, u32::MAX);
         let answer = house.post("/o/x", "failed").await?;
         ensure!(answer.status == 500, "{answer:?}");
         ensure!(answer.field(names::SEAL).is_some(), "{answer:?}");
-        ensure!(ran(&[&near, &far], "failed") == 1, "ran twice");
+        ensure!(count_runs(&[&near, &far], "failed") == 1, "ran twice");
         Ok(())
     })
 }
@@ -85,12 +86,12 @@
 #[test]
 fn a_repeatable_request_whose_answer_is_lost_runs_elsewhere() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor).await?;
+        let (near, far, house) = start_with_two_servers(executor).await?;
         for fault in [Fault::LostAnswer, Fault::Reset, Fault::Failure] {
             near.fault(fault, 1);
             let attempt = format!("{fault:?}");
             let answer = house.post("/r/x", &attempt).await?;
-            whole(&answer, &[&near, &far], &attempt)?;
+            ensure_served_by(&answer, &[&near, &far], &attempt)?;
             near.heal();
         }
         Ok(())
@@ -102,7 +103,7 @@
 #[test]
 fn an_error_is_kept_until_another_server_answers() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor).await?;
+        let (near, far, house) = start_with_two_servers(executor).await?;
         for fault in [Fault::LostAnswer, Fault::Reset, Fault::Garbage, Fault::Shed] {
             near.fault(Fault::Failure, 1);
             far.fault(fault, u32::MAX);
@@ -114,7 +115,10 @@
             let run = runs.iter().find(|run| run.attempt == attempt);
             let run = run.ok_or_else(|| eyre!("{attempt} did not run"))?;
             ensure!(answer.field(names::SEAL) == Some(&run.seal), "{answer:?}");
-            ensure!(arrived(&[&far], &attempt) == 1, "{attempt}: not sent again");
+            ensure!(
+                count_deliveries(&[&far], &attempt) == 1,
+                "{attempt}: not sent again"
+            );
             far.heal();
         }
         Ok(())
@@ -124,14 +128,14 @@
 #[test]
 fn a_refused_request_goes_to_another_server() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor).await?;
+        let (near, far, house) = start_with_two_servers(executor).await?;
         for fault in [Fault::Shed, Fault::Busy] {
             for target in ["/r/x", "/o/x"] {
                 near.fault(fault, 1);
                 let attempt = format!("{fault:?}{target}");
                 let answer = house.post(target, &attempt).await?;
-                whole(&answer, &[&near, &far], &attempt)?;
-                ensure!(ran(&[&near, &far], &attempt) == 1, "ran twice");
+                ensure_served_by(&answer, &[&near, &far], &attempt)?;
+                ensure!(count_runs(&[&near, &far], &attempt) == 1, "ran twice");
             }
         }
         Ok(())
@@ -141,14 +145,14 @@
 #[test]
 fn a_request_that_all_servers_refuse_is_promised_not_to_run() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor).await?;
+        let (near, far, house) = start_with_two_servers(executor).await?;
         for fault in [Fault::Shed, Fault::Busy] {
             near.fault(fault, u32::MAX);
             far.fault(fault, u32::MAX);
             for target in ["/r/x", "/o/x", "/s/x", "/u/x"] {
                 let attempt = format!("{fault:?}{target}");
-                promised(&house.post(target, &attempt).await?)?;
-                ensure!(ran(&[&near, &far], &attempt) == 0, "{attempt} ran");
+                ensure_not_executed(&house.post(target, &attempt).await?)?;
+                ensure!(count_runs(&[&near, &far], &attempt) == 0, "{attempt} ran");
             }
         }
         Ok(())
@@ -158,14 +162,14 @@
 #[test]
 fn clients_of_a_service_that_is_down_are_called_back_after_a_start() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor).await?;
+        let (near, far, house) = start_with_two_servers(executor).await?;
         for server in [&near, &far] {
             server.crash();
-            down(server).await?;
+            wait_until_down(server).await?;
         }
         for target in ["/r/x", "/o/x"] {
             let answer = house.post(target, target).await?;
-            promised(&answer)?;
+            ensure_not_executed(&answer)?;
             let wait = answer.field(names::RETRY_AFTER).unwrap_or_default();
             let wait: f64 = wait.parse()?;
             ensure!((0.8..=1.3).contains(&wait), "come back after {wait}");
@@ -177,16 +181,16 @@
 #[test]
 fn without_a_server_a_request_is_promised_not_to_run() -> Result {
     run(async |executor| {
-        let (gone, house) = single(executor).await?;
+        let (gone, house) = start_with_one_server(executor).await?;
         gone.crash();
-        down(&gone).await?;
+        wait_until_down(&gone).await?;
         for target in ["/r/x", "/o/x"] {
-            promised(&house.post(target, target).await?)?;
+            ensure_not_executed(&house.post(target, target).await?)?;
         }
         house.site.withdraw(&gone);
-        until("gone", async || Ok(house.router.relay().fleet.is_empty())).await?;
+        wait_until("gone", async || Ok(house.router.relay().fleet.is_empty())).await?;
         for target in ["/r/x", "/o/x"] {
-            promised(&house.post(target, target).await?)?;
+            ensure_not_executed(&house.post(target, target).await?)?;
         }
         Ok(())
     })
@@ -195,7 +199,7 @@
 #[test]
 fn a_refusal_after_a_lost_answer_is_no_promise() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor).await?;
+        let (near, far, house) = start_with_two_servers(executor).await?;
         for fault in [Fault::Shed, Fault::Busy] {
             near.fault(Fault::LostAnswer, 1);
             far.fault(fault, u32::MAX);
@@ -214,9 +218,9 @@
         let site = site()?;
         let server = site.server(Settings {
             work: ms(600),
-            ..usual(1)
+            ..server_settings(1)
         })?;
-        let house = House::open(executor, site).await?;
+        let house = Harness::start_ready(executor, site).await?;
         server.fault(Fault::LostAnswer, 1);
         let leave = async {
             Timer::after(ms(150)).await;
@@ -234,12 +238,12 @@
 #[test]
 fn a_server_that_is_another_now_is_left_alone() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor).await?;
+        let (near, far, house) = start_with_two_servers(executor).await?;
         // Another server has taken over the address of the near one.
         let other = taken_over(near).await?;
         for target in ["/o/x", "/r/x"] {
             let answer = house.post(target, target).await?;
-            whole(&answer, &[&far], target)?;
+            ensure_served_by(&answer, &[&far], target)?;
             ensure!(other.ran(target) == 0, "ran at another server");
         }
         ensure!(
@@ -256,9 +260,9 @@
 #[test]
 fn a_server_that_is_another_now_is_asked_once() -> Result {
     run(async |executor| {
-        let (near, _far, house) = pair(executor).await?;
+        let (near, _far, house) = start_with_two_servers(executor).await?;
         // It has answered fast, so that it is preferred from now on.
-        until("answered", async || {
+        wait_until("answered", async || {
             house.post("/r/x", "before").await?;
             Ok(!near.runs().is_empty())
         })
@@ -287,13 +291,15 @@
 #[test]
 fn a_request_that_reached_another_server_goes_to_one_that_is_there() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor).await?;
-        house.site.declare(&[single_server("/o1/", Kind::Once)]);
-        until("declared", async || {
+        let (near, far, house) = start_with_two_servers(executor).await?;
+        house
+            .site
+            .declare(&[single_server("/o1/", Kind::AtMostOnce)]);
+        wait_until("declared", async || {
             Ok(house.post("/o1/x", "declared").await?.status == 200)
         })
         .await?;
-        until("answered", async || {
+        wait_until("answered", async || {
             house.post("/r/x", "before").await?;
             Ok(!near.runs().is_empty())
         })
@@ -302,8 +308,11 @@
         for number in 0..40 {
             let attempt = format!("{number}");
             let answer = house.post("/o1/x", &attempt).await?;
-            whole(&answer, &[&far], &attempt)?;
-            ensure!(ran(&[&far, &other], &attempt) == 1, "{attempt} ran twice");
+            ensure_served_by(&answer, &[&far], &attempt)?;
+            ensure!(
+                count_runs(&[&far, &other], &attempt) == 1,
+                "{attempt} ran twice"
+            );
         }
         let refused = Outcome::Refused(421);
         let runs = other.runs();
@@ -319,7 +328,7 @@
         site.declare(&[thrice(), single_server("/r1/", Kind::Repeatable)]);
         let servers = servers(&site, 5)?;
         let all: Vec<_> = servers.iter().collect();
-        let house = House::open(executor, site).await?;
+        let house = Harness::start_ready(executor, site).await?;
         for (fault, status) in [
             (Fault::Failure, 500),
             (Fault::Reset, 502),
@@ -332,9 +341,11 @@
                 let attempt = format!("{fault:?}{target}");
                 let answer = house.post(target, &attempt).await?;
                 ensure!(answer.status == status, "{attempt}: {answer:?}");
-                let sent = arrived(&all, &attempt);
+                let sent = count_deliveries(&all, &attempt);
                 ensure!(sent == most, "{attempt}: sent {sent} times");
-                let once = all.iter().all(|server| arrived(&[server], &attempt) <= 1);
+                let once = all
+                    .iter()
+                    .all(|server| count_deliveries(&[server], &attempt) <= 1);
                 ensure!(once, "{attempt} went to one server twice");
             }
         }
@@ -353,7 +364,7 @@
             let site = site()?;
             site.declare(&[thrice()]);
             let servers = servers(&site, 3)?;
-            let house = House::with(executor.clone(), site, |settings| {
+            let house = Harness::start_with_settings(executor.clone(), site, |settings| {
                 settings["bounds"]["retry_share"] = RATIO.into();
                 settings["bounds"]["retry_extra"] = (EXTRA as u64).into();
             })
@@ -379,8 +390,8 @@
 fn a_kept_connection_to_another_hall_serves_while_the_hall_is_heard() -> Result {
     run(async |executor| {
         let site = site()?;
-        let far = site.server(usual(2))?;
-        let house = House::open(executor, site).await?;
+        let far = site.server(server_settings(2))?;
+        let house = Harness::start_ready(executor, site).await?;
         let two = async |name: &str| {
             let (first, second) = (format!("{name}-1"), format!("{name}-2"));
             future::try_zip(house.post("/r/x", &first), house.post("/r/x", &second)).await
--- a/crates/relay/tests/relay/sim.rs
+++ b/crates/relay/tests/relay/sim.rs
@@ -17,15 +17,15 @@
 use tidepier_core::request::{Part, Prompt};
 use tidepier_core::server::{Server, State};
 use tidepier_ids as ids;
-use tidepier_relay::choose::filter::{Filter, Gate};
-use tidepier_relay::choose::{self, Ask};
+use tidepier_relay::choose::filter::{Admission, Filter};
+use tidepier_relay::choose::{self, Criteria};
 use tidepier_relay::cold::{Limit, Roster};
-use tidepier_relay::fleet::{self, Fleet, Running};
+use tidepier_relay::fleet::{self, Fleet, InFlight};
 use tidepier_relay::health;
 use tidepier_relay::traffic::index::Index;
 
-use crate::desk::{address, id};
-use crate::house::{Result, SERVICE};
+use crate::choice_harness::{address, id};
+use crate::harness::{Result, SERVICE};
 
 /// Longest wait for a cold server to bear a request, as of a router.
 const COLD_WAIT: Duration = Duration::from_millis(150);
@@ -138,7 +138,7 @@
     number: usize,
     desk: usize,
     server: ids::Server,
-    running: Running,
+    running: InFlight,
 }
 
 impl PartialEq for Run {
@@ -209,8 +209,8 @@
         };
         for desk in &sim.desks {
             let boxes = sim.desks.iter().map(|other| (&other.name, &other.hall));
-            desk.roster.list(&desk.name, boxes, start);
-            desk.roster.known(start);
+            desk.roster.set_members(&desk.name, boxes, start);
+            desk.roster.set_listed(start);
             for server in sim.servers()? {
                 desk.fleet.announce(server, start);
             }
@@ -286,7 +286,7 @@
             retry_after: Some(*rest),
             ..Answer::default()
         };
-        desk.fleet.hear(&choice.backend, &answer, now);
+        desk.fleet.apply_answer(&choice.backend, &answer, now);
         true
     }
 
@@ -307,12 +307,12 @@
         patience: Duration,
     ) -> Option<choose::Choice> {
         let (overage, tolerance) = self.plan.bound;
-        let gate = Gate {
+        let gate = Admission {
             limit: Limit::new(self.plan.cold, overage, tolerance),
             roster: &desk.roster,
-            patience,
+            max_wait: patience,
         };
-        let ask = Ask {
+        let ask = Criteria {
             prompt: Some(prompt),
             copy_ms: Some(0.007),
             tried,
@@ -321,7 +321,7 @@
                 ..Filter::default()
             },
             hall: &desk.hall,
-            breaks: false,
+            not_resumable: false,
             connections: 1_000,
             crowd_factor: 2.0,
         };
@@ -360,8 +360,8 @@
             let Some(choice) = self.there(desk_of, &prompt, now, &mut outcome) else {
                 outcome.refused += 1;
                 let servers = desk_of.fleet.serving(&self.service);
-                let rest = fleet::first_over(servers.iter(), now);
-                let wait = rest.map_or(SOON, |rest| rest.come_back(fresh as u8 % 3, now));
+                let rest = fleet::earliest_backoff(servers.iter(), now);
+                let wait = rest.map_or(SOON, |rest| rest.retry_delay(fresh as u8 % 3, now));
                 let again = now + wait;
                 if self.plan.patience > again - since {
                     back.push(Reverse(Back {
@@ -380,7 +380,7 @@
             }
             self.desks[desk]
                 .index
-                .sent(&prompt, choice.backend.key, now);
+                .record_local(&prompt, choice.backend.key, now);
             let server = choice.backend.server.id.clone();
             outcome.waited += now - since;
             outcome
@@ -394,7 +394,7 @@
                 number,
                 desk,
                 server,
-                running: choice.backend.run(choice.read as u64),
+                running: choice.backend.run(choice.prefill_tokens as u64),
             });
         }
         outcome
@@ -428,7 +428,7 @@
             }
             outcome.absent += 1;
             choice.backend.health.sent(now);
-            choice.backend.record(health::Outcome::Absent, now);
+            choice.backend.record(health::Outcome::NotListening, now);
             tried.push(server.clone());
         }
         None
--- a/crates/relay/tests/relay/sizes.rs
+++ b/crates/relay/tests/relay/sizes.rs
@@ -10,9 +10,9 @@
 use tidepier_core::server::{Server, State};
 use tidepier_relay::fleet::Fleet;
 use tidepier_relay::message::follow::Row;
-use tidepier_relay::record::Record;
+use tidepier_relay::server_history::History;
 
-use crate::house::{Result, SERVICE};
+use crate::harness::{Result, SERVICE};
 
 /// Servers of the shorter list.
 const FEW: u16 = 500;
@@ -50,12 +50,12 @@
     let service = id(SERVICE)?;
     let mut least = Duration::MAX;
     for _ in 0..MEASUREMENTS {
-        let (fleet, record) = (Fleet::default(), Record::default());
+        let (fleet, record) = (Fleet::default(), History::default());
         let begin = Instant::now();
         for (revision, server) in (1..).map(Revision::of).zip(&servers) {
             let row = Row::new(server, revision);
             ensure!(!record.is_outdated(&row), "{revision} is not new");
-            record.is(row);
+            record.upsert(row);
             fleet.announce(server.clone(), Instant::now());
         }
         let served = fleet.serving(&service).len();
--- a/crates/relay/tests/relay/slow.rs
+++ b/crates/relay/tests/relay/slow.rs
@@ -12,8 +12,9 @@
 use tidepier_relay_standin::site::Route;
 use tidepier_relay_standin::Client;
 
-use crate::house::{
-    arrived, ms, pair, post, run, site, streaming, until, usual, whole, House, Result, SERVICE,
+use crate::harness::{
+    count_deliveries, ensure_served_by, ms, post, run, server_settings, site,
+    start_with_two_servers, stream_server_settings, wait_until, Harness, Result, SERVICE,
 };
 use crate::raw;
 
@@ -44,16 +45,16 @@
     Settings {
         work: ms(60),
         slots: 4,
-        ..usual(number)
+        ..server_settings(number)
     }
 }
 
 /// Sends requests at once on a route; all of them are over in time.
-async fn held(house: &House, target: &str) -> Result {
+async fn held(house: &Harness, target: &str) -> Result {
     let calls: Vec<_> = (0..CROWD)
         .map(|number| {
             let call = post(target, &format!("{target}{number}"));
-            let front = house.front();
+            let front = house.router_address();
             smol::spawn(async move { Client::once(front, &call).await })
         })
         .collect();
@@ -74,10 +75,10 @@
         let site = site()?;
         site.declare(&[
             short("/shortr/", Kind::Repeatable),
-            short("/shorto/", Kind::Once),
+            short("/shorto/", Kind::AtMostOnce),
         ]);
         let servers = [site.server(slow_server(1))?, site.server(slow_server(2))?];
-        let house = House::open(executor, site).await?;
+        let house = Harness::start_ready(executor, site).await?;
         for server in &servers {
             server.slow(SLOW);
         }
@@ -95,8 +96,8 @@
         let resumable = Kind::Stream { resumable: true };
         let single = Kind::Stream { resumable: false };
         site.declare(&[short("/shorts/", resumable), short("/shortu/", single)]);
-        let server = site.server(streaming(1, 400, ms(40)))?;
-        let house = House::open(executor, site).await?;
+        let server = site.server(stream_server_settings(1, 400, ms(40)))?;
+        let house = Harness::start_ready(executor, site).await?;
         for target in ["/shorts/x", "/shortu/x"] {
             let mut times = Vec::new();
             // A busy machine may hold up some of them.
@@ -108,7 +109,7 @@
             }
             ensure!(times.iter().any(|time| *time < MOST), "{target}: {times:?}");
         }
-        until("ended", async || Ok(server.running() == 0)).await
+        wait_until("ended", async || Ok(server.running() == 0)).await
     })
 }
 
@@ -125,21 +126,21 @@
     run(async |executor| {
         let site = site()?;
         let server = site.server(slow_server(1))?;
-        let house = House::open(executor, site).await?;
+        let house = Harness::start_ready(executor, site).await?;
         server.slow(SLOW);
         let mut clients = Vec::new();
         for number in 0..CROWD {
-            let mut client = Client::open(house.front()).await?;
+            let mut client = Client::open(house.router_address()).await?;
             let call = post("/r/x", &format!("{number}")).leaving(ms(1));
             let answer = client.call(&call).await;
             ensure!(answer.end == End::Left, "{answer:?}");
             clients.push(client);
         }
         // Four are worked on and four wait.
-        until("sent", async || Ok(working(&server) == CROWD)).await?;
+        wait_until("sent", async || Ok(working(&server) == CROWD)).await?;
         drop(clients);
         let left = Instant::now();
-        until("ended", async || Ok(working(&server) == 0)).await?;
+        wait_until("ended", async || Ok(working(&server) == 0)).await?;
         ensure!(left.elapsed() < LEAVE_TIME, "{:?}", left.elapsed());
         Timer::after(LEAVE_TIME).await;
         ensure!(server.runs().len() == CROWD, "sent again for nobody");
@@ -148,22 +149,22 @@
 }
 
 /// What a router knows of a server's time to an answer, in ms.
-fn time_ms(house: &House, server: &Server) -> Result<f64> {
+fn time_ms(house: &Harness, server: &Server) -> Result<f64> {
     let id = server.settings().id.parse()?;
     let backend = house.router.relay().fleet.get(&id);
-    let time = backend.and_then(|backend| backend.health.time_ms());
+    let time = backend.and_then(|backend| backend.health.mean_latency_ms());
     time.ok_or_else(|| eyre!("{id} has no time"))
 }
 
 #[test]
 fn a_server_is_not_slow_for_the_silence_of_the_one_before() -> Result {
     run(async |executor| {
-        let (near, far, house) = pair(executor).await?;
+        let (near, far, house) = start_with_two_servers(executor).await?;
         near.fault(Fault::Hang, 1);
         let answer = house.post("/r/x", "a").await?;
-        whole(&answer, &[&near, &far], "a")?;
-        ensure!(arrived(&[&near], "a") == 1, "it began elsewhere");
-        ensure!(arrived(&[&far], "a") == 1, "it did not go on");
+        ensure_served_by(&answer, &[&near, &far], "a")?;
+        ensure!(count_deliveries(&[&near], "a") == 1, "it began elsewhere");
+        ensure!(count_deliveries(&[&far], "a") == 1, "it did not go on");
         // The silence alone takes half a second.
         let time = time_ms(&house, &far)?;
         ensure!(time < 400.0, "{time} ms");
@@ -177,8 +178,11 @@
         let site = site()?;
         // 20,000 tokens take 0.5 s at the usual speed.
         let work = ms(450);
-        let server = site.server(Settings { work, ..usual(1) })?;
-        let house = House::open(executor, site).await?;
+        let server = site.server(Settings {
+            work,
+            ..server_settings(1)
+        })?;
+        let house = Harness::start_ready(executor, site).await?;
         let call = |attempt: &str| post("/r/x", attempt);
         let long = call("long").with(names::PROMPT, "5c1e:19000,91bd:1000");
         ensure!(house.call(&long).await?.status == 200, "not served");
@@ -200,7 +204,7 @@
         // Of the client's 400 ms, 60 are left at the answer's head and 25 at
         // its end. A busy machine may be later than that, so there are more
         // tries than one.
-        let late = raw::Late {
+        let late = raw::TwoPartServer {
             first: ms(340),
             second: ms(35),
         };
@@ -209,7 +213,7 @@
             [format!("{head}Attempt-Id: {attempt}\r\n\r\n"), "no".into()]
         };
         let _server = late.start(&executor, &site, "i-1", failed)?;
-        let house = House::open(executor, site).await?;
+        let house = Harness::start_ready(executor, site).await?;
         let mut statuses = Vec::new();
         for number in 0..ERROR_TRIES {
             let call = post("/r/x", &number.to_string()).with(names::DEADLINE, "400");
@@ -231,18 +235,18 @@
         let site = site()?;
         let reads = |number| Settings {
             prefill: Duration::from_micros(25),
-            ..streaming(number, 4, ms(10))
+            ..stream_server_settings(number, 4, ms(10))
         };
         let engines = [site.server(reads(1))?, site.server(reads(2))?];
         let both = [&engines[0], &engines[1]];
-        let house = House::open(executor, site).await?;
+        let house = Harness::start_ready(executor, site).await?;
         let call = post("/s/x", "long").with(names::PROMPT, "a1:36000,b1:100");
         let answer = house.call(&call).await?;
-        whole(&answer, &both, "long")?;
+        ensure_served_by(&answer, &both, "long")?;
         ensure!(
-            arrived(&both, "long") == 1,
+            count_deliveries(&both, "long") == 1,
             "{} sendings",
-            arrived(&both, "long")
+            count_deliveries(&both, "long")
         );
         Ok(())
     })
--- a/crates/relay/tests/relay/spread.rs
+++ b/crates/relay/tests/relay/spread.rs
@@ -17,13 +17,13 @@
 use tidepier_core::answer::Load;
 use tidepier_core::server::{Server, State};
 use tidepier_relay::choose::filter::Filter;
-use tidepier_relay::choose::{self, Ask};
-use tidepier_relay::fleet::{Fleet, Key, Running};
+use tidepier_relay::choose::{self, Criteria};
+use tidepier_relay::fleet::{Fleet, InFlight, Key};
 use tidepier_relay::traffic::index::Index;
-use tidepier_relay::traffic::tally::{Sum, Told};
+use tidepier_relay::traffic::tally::{Baseline, Totals};
 
-use crate::desk::{address, id, prompt};
-use crate::house::{Result, SERVICE};
+use crate::choice_harness::{address, id, prompt};
+use crate::harness::{Result, SERVICE};
 
 /// Requests a second for each engine.
 const RATE: f64 = 7.0;
@@ -48,8 +48,8 @@
     fleet: Fleet,
     index: Index,
     /// What was told to it, so that changes are told alone.
-    told: Told,
-    heard: Sum,
+    told: Baseline,
+    heard: Totals,
 }
 
 /// A request that runs; the first one to end is the greatest.
@@ -57,7 +57,7 @@
     end: Instant,
     desk: usize,
     engine: usize,
-    running: Running,
+    running: InFlight,
 }
 
 impl PartialEq for Run {
@@ -98,8 +98,8 @@
     let desk = Desk {
         fleet: Fleet::default(),
         index: Index::default(),
-        told: Told::default(),
-        heard: Sum::default(),
+        told: Baseline::default(),
+        heard: Totals::default(),
     };
     for number in 0..engines {
         desk.fleet.announce(engine(number)?, now);
@@ -154,13 +154,13 @@
             _ => fastrand::u64(0..10 * engines as u64),
         };
         let prompt = prompt(subject, TOKENS);
-        let ask = Ask {
+        let ask = Criteria {
             prompt: Some(&prompt),
             copy_ms: Some(0.002),
             tried: &[],
             filter: Filter::default(),
             hall: &hall,
-            breaks: false,
+            not_resumable: false,
             connections: 1_000,
             crowd_factor: 2.0,
         };
@@ -172,13 +172,13 @@
             judged += 1;
             over += usize::from(f64::from(held[place]) > 2.0 * mean + 3.0);
         }
-        desk.index.sent(&prompt, choice.backend.key, now);
+        desk.index.record_local(&prompt, choice.backend.key, now);
         held[place] += 1;
         runs.push(Run {
             end: now + RUN_TIME + RUN_MORE * held[place],
             desk: at,
             engine: place,
-            running: choice.backend.run(choice.read as u64),
+            running: choice.backend.run(choice.prefill_tokens as u64),
         });
     }
     Ok(over as f64 / judged as f64)
@@ -192,13 +192,14 @@
         (*key, held.saturating_sub(own))
     });
     let others = boxes as u32 - 1;
-    let sum = Sum {
+    let sum = Totals {
         boxes: others,
         requests: all.filter(|(_, requests)| *requests > 0).collect(),
     };
     let changes = desk.told.changes(&sum, COUNTS);
     desk.heard.apply(others, &changes);
-    desk.fleet.set_others(&desk.heard.requests, others, now);
+    desk.fleet
+        .set_peer_in_flight(&desk.heard.requests, others, now);
 }
 
 fn within_bound(hot: bool) -> Result {
--- a/crates/relay/tests/relay/standing.rs
+++ b/crates/relay/tests/relay/standing.rs
@@ -11,11 +11,11 @@
 use proptest::prelude::*;
 use tidepier_clock::Instant;
 use tidepier_core::catalog::Version;
-use tidepier_core::era::{Era, Eras, Revision};
-use tidepier_relay::emptied::{Emptied, List, Row};
-use tidepier_relay::standing::{Before, Entry, Ground, Hold, Origin, Standing, Waits};
+use tidepier_core::era::{Era, Revision, Tracker};
+use tidepier_relay::emptied_halls::{EmptiedHalls, List, Row};
+use tidepier_relay::era_state::{Entry, EraState, Evidence, Origin, Precedence, Prior, Waits};
 
-use crate::house::{ms, Result};
+use crate::harness::{ms, Result};
 
 /// Times after which the store's word counts and the operator has written again.
 const WAITS: Waits = Waits {
@@ -34,8 +34,8 @@
     }
 }
 
-fn known(version: u64, era: u64, number: u64, state: u64) -> Before {
-    Before {
+fn known(version: u64, era: u64, number: u64, state: u64) -> Prior {
+    Prior {
         in_force: Some(Version(version)),
         entry: Some(entry(version, era, number)),
         state: revision(era, state),
@@ -45,16 +45,16 @@
 
 /// A box that was settled in era 1, with version 60 of number 43, and hears of era 2 in a
 /// state.
-fn returned(first: u64, now: Instant) -> Standing {
-    let standing = Standing::default();
-    standing.hear(revision(1, 10), Before::default(), now);
-    standing.settle(Ground::Told);
-    assert!(standing.hear(revision(2, first), known(60, 1, 43, 45), now));
+fn returned(first: u64, now: Instant) -> EraState {
+    let standing = EraState::default();
+    standing.observe(revision(1, 10), Prior::default(), now);
+    standing.settle(Evidence::Report);
+    assert!(standing.observe(revision(2, first), known(60, 1, 43, 45), now));
     standing
 }
 
-fn weigh(standing: &Standing, stored: Entry, at: Instant) -> Option<Ground> {
-    standing.weigh(Some(stored), Some(Version(60)), WAITS, at)
+fn weigh(standing: &EraState, stored: Entry, at: Instant) -> Option<Evidence> {
+    standing.evaluate(Some(stored), Some(Version(60)), WAITS, at)
 }
 
 #[test]
@@ -66,11 +66,11 @@
         let ground = weigh(&standing, stored, now + ms(100));
         ensure!(ground.is_none(), "{stored:?}: {ground:?}");
     }
-    let ground = standing.weigh(None, Some(Version(60)), WAITS, now);
+    let ground = standing.evaluate(None, Some(Version(60)), WAITS, now);
     ensure!(ground.is_none(), "no entry: {ground:?}");
     // Nobody wrote it again.
     let ground = weigh(&standing, entry(45, 2, 39), now + WAITS.rewrite);
-    ensure!(ground == Some(Ground::Waited), "{ground:?}");
+    ensure!(ground == Some(Evidence::Waited), "{ground:?}");
     Ok(())
 }
 
@@ -79,11 +79,11 @@
     let now = Instant::now();
     let standing = returned(39, now);
     for (stored, ground) in [
-        (entry(60, 2, 40), Some(Ground::Written)),
-        (entry(63, 2, 41), Some(Ground::Written)),
+        (entry(60, 2, 40), Some(Evidence::Written)),
+        (entry(63, 2, 41), Some(Evidence::Written)),
         // The number was given out in the era before, when there was another version.
-        (entry(63, 2, 39), Some(Ground::Written)),
-        (entry(60, 2, 39), Some(Ground::Written)),
+        (entry(63, 2, 39), Some(Evidence::Written)),
+        (entry(60, 2, 39), Some(Evidence::Written)),
     ] {
         let found = weigh(&standing, stored, now);
         ensure!(found == ground, "{stored:?}: {found:?}");
@@ -106,13 +106,13 @@
     ensure!(early.is_none(), "before its word counts: {early:?}");
     let stable = now + WAITS.stable;
     let ground = weigh(&standing, stored, stable);
-    ensure!(ground == Some(Ground::Same), "{ground:?}");
+    ensure!(ground == Some(Evidence::Same), "{ground:?}");
     // Another box told of a higher one meanwhile.
-    let ground = standing.weigh(Some(stored), Some(Version(61)), WAITS, stable);
+    let ground = standing.evaluate(Some(stored), Some(Version(61)), WAITS, stable);
     ensure!(ground.is_none(), "{ground:?}");
     // Who was asked in one era was not in the next.
     ensure!(
-        standing.hear(revision(3, 44), known(60, 2, 43, 44), now),
+        standing.observe(revision(3, 44), known(60, 2, 43, 44), now),
         "no other era"
     );
     let ground = weigh(&standing, entry(60, 3, 43), stable);
@@ -131,9 +131,9 @@
         (Some(ms(5_100)), false),
         (None, true),
     ] {
-        let standing = Standing::default();
-        standing.hear(revision(1, 10), Before::default(), now);
-        standing.hear(revision(2, 39), Before { age, ..before }, now);
+        let standing = EraState::default();
+        standing.observe(revision(1, 10), Prior::default(), now);
+        standing.observe(revision(2, 39), Prior { age, ..before }, now);
         let hold = standing.hold_recent(within, now + ms(100));
         ensure!(hold.is_some() == stands, "{age:?}: {hold:?}");
         ensure!(standing.hold(within, now + ms(100)).is_some(), "{age:?}");
@@ -147,15 +147,15 @@
 fn an_era_begins_once_and_no_earlier_one_comes_back() -> Result {
     let now = Instant::now();
     let standing = returned(39, now);
-    ensure!(!standing.hear(revision(2, 37), Before::default(), now));
+    ensure!(!standing.observe(revision(2, 37), Prior::default(), now));
     ensure!(standing.first() == 37, "{}", standing.first());
-    ensure!(!standing.hear(revision(1, 60), Before::default(), now));
+    ensure!(!standing.observe(revision(1, 60), Prior::default(), now));
     ensure!(standing.era() == Some(Era(2)), "{:?}", standing.era());
     ensure!(!standing.is_settled(), "settled by a former one");
-    ensure!(standing.settle(Ground::Told) && !standing.settle(Ground::Same));
-    let eras = Eras::default();
+    ensure!(standing.settle(Evidence::Report) && !standing.settle(Evidence::Same));
+    let eras = Tracker::default();
     let heard = [Some(Era(2)), None, Some(Era(1)), Some(Era(3)), Some(Era(2))];
-    let heard: Vec<bool> = heard.iter().map(|era| eras.hear(*era).is_ok()).collect();
+    let heard: Vec<bool> = heard.iter().map(|era| eras.observe(*era).is_ok()).collect();
     ensure!(heard == [true, true, false, true, false], "{heard:?}");
     Ok(())
 }
@@ -163,40 +163,40 @@
 #[test]
 fn a_store_without_eras_is_whole() -> Result {
     let now = Instant::now();
-    let standing = Standing::default();
+    let standing = EraState::default();
     ensure!(standing.is_open(), "nothing was heard yet");
-    standing.hear(revision(0, 7), Before::default(), now);
+    standing.observe(revision(0, 7), Prior::default(), now);
     ensure!(standing.is_settled() && standing.may_begin());
     ensure!(standing.origin(revision(0, 3)) == Origin::Era);
     // It tells one from its first return on.
-    standing.hear(revision(1, 3), known(60, 0, 6, 7), now);
+    standing.observe(revision(1, 3), known(60, 0, 6, 7), now);
     ensure!(!standing.is_settled(), "settled by the former one");
-    ensure!(standing.origin(revision(1, 3)) == Origin::Copy);
+    ensure!(standing.origin(revision(1, 3)) == Origin::Backup);
     Ok(())
 }
 
 #[test]
 fn a_box_that_starts_begins_when_others_were_asked() -> Result {
     let now = Instant::now();
-    let standing = Standing::default();
+    let standing = EraState::default();
     ensure!(standing.may_begin(), "nothing is known");
-    standing.hear(revision(2, 40), Before::default(), now);
+    standing.observe(revision(2, 40), Prior::default(), now);
     ensure!(!standing.may_begin() && standing.is_open());
     standing.ask();
     ensure!(standing.may_begin() && standing.is_open());
     // One that is not the first start is not settled by its own look.
-    let ground = standing.weigh(
+    let ground = standing.evaluate(
         Some(entry(45, 2, 39)),
         Some(Version(45)),
         WAITS,
         now + ms(900),
     );
     ensure!(ground.is_none(), "{ground:?}");
-    let first = Standing::default();
-    first.start_first();
-    first.hear(revision(1, 1), Before::default(), now);
+    let first = EraState::default();
+    first.record_first_start();
+    first.observe(revision(1, 1), Prior::default(), now);
     ensure!(first.is_settled() && first.may_begin());
-    first.hear(revision(2, 1), Before::default(), now);
+    first.observe(revision(2, 1), Prior::default(), now);
     ensure!(!first.is_settled(), "only once");
     Ok(())
 }
@@ -235,8 +235,8 @@
     #[test]
     fn nothing_older_than_what_was_in_force_is_proven(steps in steps()) {
         let mut now = Instant::now();
-        let standing = Standing::default();
-        standing.start_first();
+        let standing = EraState::default();
+        standing.record_first_start();
         // The history of the store: the configuration's entry in each state.
         let (mut era, mut history) = (1, vec![(0, 0)]);
         let mut written = 0;
@@ -259,19 +259,19 @@
                 Step::Pass(time) => now += ms(time.into()),
                 Step::Look => {
                     let now_at = revision(era, history.len() as u64 - 1);
-                    let before = Before {
+                    let before = Prior {
                         in_force,
                         entry: at,
                         state,
                         age: None,
                     };
-                    standing.hear(now_at, before, now);
+                    standing.observe(now_at, before, now);
                     let stored = (last.0 > 0).then(|| entry(last.0, era, last.1));
                     let seen = in_force;
                     in_force = in_force.max(stored.map(|it| it.version));
                     (at, state) = (stored, now_at);
-                    let ground = standing.weigh(stored, in_force, WAITS, now);
-                    if ground.is_some() && ground != Some(Ground::Waited) {
+                    let ground = standing.evaluate(stored, in_force, WAITS, now);
+                    if ground.is_some() && ground != Some(Evidence::Waited) {
                         let version = stored.map(|it| it.version);
                         prop_assert!(version >= seen, "{version:?} of {seen:?} by {ground:?}");
                     }
@@ -291,7 +291,7 @@
         copy in prop::collection::vec(any::<bool>(), 4),
         later in prop::collection::vec(prop::option::of(any::<bool>()), 4),
     ) {
-        let emptied = Emptied::default();
+        let emptied = EmptiedHalls::default();
         let name = |hall: usize| -> tidepier_ids::Hall {
             format!("hall-{hall}").parse().expect("a name")
         };
@@ -308,7 +308,7 @@
             revision: revision(2, 5 + hall as u64),
         });
         let list = List { rows: rows.collect(), seen: revision(2, 20) };
-        let hold = Some(Hold::new(revision(2, 20)));
+        let hold = Some(Precedence::new(revision(2, 20)));
         prop_assert!(emptied.merge(&list, hold), "what stands was all weighed");
         let halls = emptied.halls();
         for (hall, empty) in before.iter().enumerate() {
--- a/crates/relay/tests/relay/stop.rs
+++ b/crates/relay/tests/relay/stop.rs
@@ -15,10 +15,10 @@
 use tidepier_relay_standin::site::{Route, HOST};
 use tidepier_relay_standin::Client;
 
-use crate::hall;
-use crate::house::{
-    self, arrived, ms, post, run, single, site, streaming, until, usual, whole, House, Result,
-    SERVICE,
+use crate::box_harness;
+use crate::harness::{
+    self, count_deliveries, ensure_served_by, ms, post, run, server_settings, site,
+    start_with_one_server, stream_server_settings, wait_until, Harness, Result, SERVICE,
 };
 use crate::process::Process;
 
@@ -34,18 +34,18 @@
         let site = site()?;
         let slow = site.server(Settings {
             work: ms(3_600),
-            ..usual(1)
+            ..server_settings(1)
         })?;
-        let house = House::with(executor, site, |settings| {
+        let house = Harness::start_with_settings(executor, site, |settings| {
             settings["bounds"]["stop_within"] = 8_000.into();
         })
         .await?;
-        let mut kept = Client::open(house.front()).await?;
+        let mut kept = Client::open(house.router_address()).await?;
         let call = post("/o/x", "running");
         let start = Instant::now();
         let running = async {
             let answer = kept.call(&call).await;
-            whole(&answer, &[&slow], "running")?;
+            ensure_served_by(&answer, &[&slow], "running")?;
             ensure!(answer.field("Connection") == Some("close"), "{answer:?}");
             Ok(())
         };
@@ -59,9 +59,9 @@
             Timer::after(ms(250)).await;
             ensure!(!house.is_ready().await, "ready while it stops");
             // The other server answers at once; it came after the slow one.
-            let quick = house.site.server(usual(2))?;
+            let quick = house.site.server(server_settings(2))?;
             house.site.withdraw(&slow);
-            until("known", async || {
+            wait_until("known", async || {
                 let ids = house.router.relay().fleet.ids();
                 Ok(ids.iter().any(|id| id.as_str() == "i-2") && ids.len() == 1)
             })
@@ -71,7 +71,7 @@
                 number += 1;
                 let attempt = format!("new-{number}");
                 let answer = house.post("/o/x", &attempt).await?;
-                whole(&answer, &[&quick], &attempt)?;
+                ensure_served_by(&answer, &[&quick], &attempt)?;
                 ensure!(answer.field("Connection") == Some("close"), "{answer:?}");
                 ensure!(!house.is_ready().await, "ready while it stops");
                 Timer::after(ms(20)).await;
@@ -93,8 +93,8 @@
 fn a_stop_finishes_streams() -> Result {
     run(async |executor| {
         let site = site()?;
-        let server = site.server(streaming(1, 40, ms(90)))?;
-        let house = House::open(executor, site).await?;
+        let server = site.server(stream_server_settings(1, 40, ms(90)))?;
+        let house = Harness::start_ready(executor, site).await?;
         let stop = async {
             Timer::after(ms(200)).await;
             house.router.stop().await;
@@ -103,7 +103,7 @@
         };
         let call = post("/u/x", "stream");
         let (answer, ()) = future::try_zip(house.call(&call), stop).await?;
-        whole(&answer, &[&server], "stream")
+        ensure_served_by(&answer, &[&server], "stream")
     })
 }
 
@@ -111,9 +111,9 @@
 fn a_stop_ends_before_its_limit() -> Result {
     run(async |executor| {
         let site = site()?;
-        let server = site.server(usual(1))?;
+        let server = site.server(server_settings(1))?;
         let limit = ms(3_800);
-        let house = House::with(executor, site, |settings| {
+        let house = Harness::start_with_settings(executor, site, |settings| {
             settings["bounds"]["stop_within"] = (limit.as_millis() as u64).into();
         })
         .await?;
@@ -139,14 +139,17 @@
 fn the_metrics_are_told() -> Result {
     run(async |executor| {
         let site = site()?;
-        let server = site.server(usual(1))?;
-        let house = House::with(executor, site, |settings| {
+        let server = site.server(server_settings(1))?;
+        let house = Harness::start_with_settings(executor, site, |settings| {
             settings["metrics"] = "127.0.0.1:0".into();
         })
         .await?;
-        whole(&house.post("/r/x", "one").await?, &[&server], "one")?;
+        ensure_served_by(&house.post("/r/x", "one").await?, &[&server], "one")?;
         house.post("/nowhere/x", "two").await?;
-        let address = house.router.metrics().ok_or_else(|| eyre!("no page"))?;
+        let address = house
+            .router
+            .metrics_address()
+            .ok_or_else(|| eyre!("no page"))?;
         let page = Client::once(address, &Call::new("GET", HOST, "/metrics", "m")).await?;
         ensure!(page.status == 200 && page.complete, "{page:?}");
         let text = String::from_utf8(page.body)?;
@@ -162,8 +165,11 @@
 #[test]
 fn readiness_is_told() -> Result {
     run(async |executor| {
-        let (_server, house) = single(executor).await?;
-        let address = house.router.readiness().ok_or_else(|| eyre!("no page"))?;
+        let (_server, house) = start_with_one_server(executor).await?;
+        let address = house
+            .router
+            .readiness_address()
+            .ok_or_else(|| eyre!("no page"))?;
         let mut client = Client::open(address).await?;
         for (method, path, status) in [
             ("GET", "/-/readyz", 200),
@@ -182,8 +188,10 @@
 /// moment ago is no such address: another test may bind it before the process does,
 /// which then ends at once.
 fn process(name: &str, mut settings: Value) -> Result<Process> {
-    let ip = hall::address().ip();
-    settings["callers"] = SocketAddr::new(ip, hall::FRONT_PORT).to_string().into();
+    let ip = box_harness::address().ip();
+    settings["callers"] = SocketAddr::new(ip, box_harness::FRONT_PORT)
+        .to_string()
+        .into();
     settings["readiness"] = SocketAddr::new(ip, READY_PORT).to_string().into();
     let name = format!("{name}-{}", std::process::id());
     Process::start(&name, "warn", &settings)
@@ -191,7 +199,7 @@
 
 /// Waits until a process serves.
 async fn serving(process: &mut Process) -> Result {
-    until("serving", async || {
+    wait_until("serving", async || {
         let ended = process.ended()?;
         ensure!(ended.is_none(), "it ended by itself: {ended:?}");
         Ok(status(process, "first").await == 200)
@@ -207,9 +215,9 @@
 /// so, or not.
 async fn reloaded(name: &str, tell: impl FnOnce(&Process) -> Result) -> Result {
     let site = site()?;
-    let near = site.server(usual(1))?;
-    let far = site.server(usual(2))?;
-    let mut settings = house::settings(&site);
+    let near = site.server(server_settings(1))?;
+    let far = site.server(server_settings(2))?;
+    let mut settings = harness::settings(&site);
     settings["bounds"]["retry_share"] = 0.into();
     settings["bounds"]["retry_extra"] = 0.into();
     let mut process = process(name, settings.clone())?;
@@ -222,7 +230,7 @@
         let attempt = format!("second-{number}");
         let status = status(&process, &attempt).await;
         ensure!(status == 500, "{attempt}: {status}");
-        Ok(arrived(&[&near, &far], &attempt))
+        Ok(count_deliveries(&[&near, &far], &attempt))
     };
     for _ in 0..5 {
         ensure!(sendings().await? == 1, "retried without an allowance");
@@ -234,7 +242,7 @@
     fs::write(&fresh, settings.to_string())?;
     fs::rename(&fresh, &process.file)?;
     tell(&process)?;
-    until("retried", async || Ok(sendings().await? == 2)).await?;
+    wait_until("retried", async || Ok(sendings().await? == 2)).await?;
     // Spoiled settings change nothing.
     fs::write(&process.file, "{")?;
     process.signal("-HUP")?;
@@ -257,15 +265,15 @@
 fn a_process_told_to_stop_ends_well() -> Result {
     run(async |_| {
         let site = site()?;
-        let _server = site.server(usual(1))?;
-        let mut process = process("stop", house::settings(&site))?;
+        let _server = site.server(server_settings(1))?;
+        let mut process = process("stop", harness::settings(&site))?;
         serving(&mut process).await?;
         let told = Instant::now();
         process.signal("-TERM")?;
         Timer::after(ms(2_000)).await;
         ensure!(status(&process, "late").await == 200, "gone too early");
         let mut status = None;
-        until("ended", async || {
+        wait_until("ended", async || {
             status = process.ended()?;
             Ok(status.is_some())
         })
@@ -280,12 +288,12 @@
 fn a_changed_time_to_stop_is_taken_over() -> Result {
     run(async |_| {
         let site = site()?;
-        let server = site.server(usual(1))?;
-        let mut settings = house::settings(&site);
+        let server = site.server(server_settings(1))?;
+        let mut settings = harness::settings(&site);
         settings["bounds"]["stop_within"] = 8_000.into();
         let long = Route {
             timeout: ms(20_000),
-            ..Route::new("/l/", Kind::Once, SERVICE)
+            ..Route::new("/l/", Kind::AtMostOnce, SERVICE)
         };
         site.declare(&[long]);
         let mut process = process("time", settings.clone())?;
@@ -305,10 +313,13 @@
             std::future::pending::<Result>().await
         };
         let stopped = async {
-            until("arrived", async || Ok(arrived(&[&server], "hangs") == 1)).await?;
+            wait_until("arrived", async || {
+                Ok(count_deliveries(&[&server], "hangs") == 1)
+            })
+            .await?;
             let told = Instant::now();
             process.signal("-TERM")?;
-            until("ended", async || Ok(process.ended()?.is_some())).await?;
+            wait_until("ended", async || Ok(process.ended()?.is_some())).await?;
             ensure!(told.elapsed() < ms(5_500), "{:?}", told.elapsed());
             Ok(())
         };
--- a/crates/relay/tests/relay/strangers.rs
+++ b/crates/relay/tests/relay/strangers.rs
@@ -5,8 +5,10 @@
 use tidepier_core::server::State;
 use tidepier_relay_standin::names;
 
-use crate::hall::{ready, started, Machine};
-use crate::house::{post, run, site, until, usual, whole, Result, SERVICE};
+use crate::box_harness::{ready, started, TestBox};
+use crate::harness::{
+    ensure_served_by, post, run, server_settings, site, wait_until, Result, SERVICE,
+};
 
 fn key(id: &str) -> String {
     format!("{}{id}", names::SERVERS)
@@ -75,7 +77,7 @@
     found
 }
 
-fn serving(machine: &Machine) -> Result<usize> {
+fn serving(machine: &TestBox) -> Result<usize> {
     let service = SERVICE.parse()?;
     Ok(machine.router.relay().fleet.serving(&service).len())
 }
@@ -84,7 +86,10 @@
 fn strange_entries_name_no_server_and_harm_no_other() -> Result {
     run(async |executor| {
         let site = site()?;
-        let good = [site.server(usual(1))?, site.server(usual(2))?];
+        let good = [
+            site.server(server_settings(1))?,
+            site.server(server_settings(2))?,
+        ];
         // Half of them are there at the start, the others come while it runs.
         let strange = strange();
         let put = |at: usize| {
@@ -99,19 +104,19 @@
         (1..strange.len()).step_by(2).for_each(|at| {
             put(at);
         });
-        let marker = site.server(usual(3))?;
+        let marker = site.server(server_settings(3))?;
         for machine in &machines {
-            until("followed", async || Ok(machine.knows(&marker))).await?;
+            wait_until("followed", async || Ok(machine.knows(&marker))).await?;
             ensure!(serving(machine)? == 3, "{} servers", serving(machine)?);
             let answer = machine.call(&post("/r/x", &machine.name)).await?;
-            whole(&answer, &[&good[0], &good[1], &marker], &machine.name)?;
+            ensure_served_by(&answer, &[&good[0], &good[1], &marker], &machine.name)?;
         }
         // Read as a list, they say the same.
         site.store.compact();
         site.store.cut_watches();
-        let second = site.server(usual(4))?;
+        let second = site.server(server_settings(4))?;
         for machine in &machines {
-            until("followed", async || Ok(machine.knows(&second))).await?;
+            wait_until("followed", async || Ok(machine.knows(&second))).await?;
             ensure!(serving(machine)? == 4, "{} servers", serving(machine)?);
         }
         ready(&machines).await
@@ -123,19 +128,19 @@
 fn a_server_whose_entry_becomes_strange_is_not_used() -> Result {
     run(async |executor| {
         let site = site()?;
-        let server = site.server(usual(1))?;
-        let other = site.server(usual(2))?;
+        let server = site.server(server_settings(1))?;
+        let other = site.server(server_settings(2))?;
         let machines = started(&executor, &site, 2).await?;
         for bytes in [&b"\xff"[..], b"{}", br#"{"state":"ready"}"#] {
             site.store.put_bytes(&key("i-1"), bytes.to_vec());
             for machine in &machines {
-                until("dropped", async || Ok(!machine.knows(&server))).await?;
+                wait_until("dropped", async || Ok(!machine.knows(&server))).await?;
                 let answer = machine.call(&post("/r/x", &machine.name)).await?;
-                whole(&answer, &[&other], &machine.name)?;
+                ensure_served_by(&answer, &[&other], &machine.name)?;
             }
             site.announce(&server, State::Ready);
             for machine in &machines {
-                until("back", async || machine.serves_by(&server)).await?;
+                wait_until("back", async || machine.sends_to(&server)).await?;
             }
         }
         Ok(())
--- a/crates/relay/tests/relay/streams.rs
+++ b/crates/relay/tests/relay/streams.rs
@@ -6,12 +6,15 @@
 use tidepier_relay_standin::names;
 use tidepier_relay_standin::server::{Fault, Server};
 
-use crate::house::{arrived, ms, post, run, site, streaming, text, until, whole, House, Result};
+use crate::harness::{
+    count_deliveries, ensure_served_by, ms, post, run, site, stream_body, stream_server_settings,
+    wait_until, Harness, Result,
+};
 
 /// Checks a whole stream that one server began and another ended.
 fn resumed(answer: &Answer, first: &Server, second: &Server, attempt: &str) -> Result {
     ensure!(answer.complete && answer.status == 200, "{answer:?}");
-    ensure!(answer.body == text(1..=8), "{:?}", answer.ids());
+    ensure!(answer.body == stream_body(1..=8), "{:?}", answer.ids());
     let begun = first.runs();
     let begun = begun.iter().find(|run| run.attempt == attempt);
     let begun = begun.expect("a first run");
@@ -32,13 +35,16 @@
 fn a_stream_cut_within_an_event_goes_on_at_another_server() -> Result {
     run(async |executor| {
         let site = site()?;
-        let near = site.server(streaming(1, 8, ms(10)))?;
-        let far = site.server(streaming(2, 8, ms(10)))?;
-        let house = House::open(executor, site).await?;
+        let near = site.server(stream_server_settings(1, 8, ms(10)))?;
+        let far = site.server(stream_server_settings(2, 8, ms(10)))?;
+        let house = Harness::start_ready(executor, site).await?;
         near.fault(Fault::CutEvent, 1);
         let answer = house.post("/s/x", "cut").await?;
         resumed(&answer, &near, &far, "cut")?;
-        ensure!(arrived(&[&near, &far], "cut") == 2, "sent too often");
+        ensure!(
+            count_deliveries(&[&near, &far], "cut") == 2,
+            "sent too often"
+        );
         Ok(())
     })
 }
@@ -47,9 +53,9 @@
 fn a_stream_broken_between_events_goes_on_at_another_server() -> Result {
     run(async |executor| {
         let site = site()?;
-        let near = site.server(streaming(1, 8, ms(10)))?;
-        let far = site.server(streaming(2, 8, ms(10)))?;
-        let house = House::open(executor, site).await?;
+        let near = site.server(stream_server_settings(1, 8, ms(10)))?;
+        let far = site.server(stream_server_settings(2, 8, ms(10)))?;
+        let house = Harness::start_ready(executor, site).await?;
         near.fault(Fault::BreakOff, 1);
         let answer = house.post("/s/x", "broken").await?;
         resumed(&answer, &near, &far, "broken")
@@ -60,9 +66,9 @@
 fn a_stream_of_a_crashed_server_goes_on_at_another() -> Result {
     run(async |executor| {
         let site = site()?;
-        let near = site.server(streaming(1, 8, ms(60)))?;
-        let far = site.server(streaming(2, 8, ms(10)))?;
-        let house = House::open(executor, site).await?;
+        let near = site.server(stream_server_settings(1, 8, ms(60)))?;
+        let far = site.server(stream_server_settings(2, 8, ms(10)))?;
+        let house = Harness::start_ready(executor, site).await?;
         let crash = async {
             Timer::after(ms(200)).await;
             near.crash();
@@ -71,7 +77,7 @@
         let call = post("/s/x", "crash");
         let (answer, _) = futures_lite::future::try_zip(house.call(&call), crash).await?;
         ensure!(answer.complete, "{answer:?}");
-        ensure!(answer.body == text(1..=8), "{:?}", answer.ids());
+        ensure!(answer.body == stream_body(1..=8), "{:?}", answer.ids());
         ensure!(far.ran("crash") == 1, "the other server was not asked");
         Ok(())
     })
@@ -81,9 +87,9 @@
 fn a_stream_that_falls_silent_goes_on_at_another_server() -> Result {
     run(async |executor| {
         let site = site()?;
-        let near = site.server(streaming(1, 8, ms(50)))?;
-        let far = site.server(streaming(2, 8, ms(10)))?;
-        let house = House::open(executor, site).await?;
+        let near = site.server(stream_server_settings(1, 8, ms(50)))?;
+        let far = site.server(stream_server_settings(2, 8, ms(10)))?;
+        let house = Harness::start_ready(executor, site).await?;
         let silence = async {
             Timer::after(ms(200)).await;
             near.dark(true);
@@ -92,7 +98,7 @@
         let call = post("/s/x", "silent");
         let (answer, _) = futures_lite::future::try_zip(house.call(&call), silence).await?;
         ensure!(answer.complete, "{answer:?}");
-        ensure!(answer.body == text(1..=8), "{:?}", answer.ids());
+        ensure!(answer.body == stream_body(1..=8), "{:?}", answer.ids());
         ensure!(far.ran("silent") == 1, "the other server was not asked");
         near.dark(false);
         Ok(())
@@ -103,13 +109,13 @@
 fn a_client_that_resumes_gets_what_follows() -> Result {
     run(async |executor| {
         let site = site()?;
-        let near = site.server(streaming(1, 8, ms(10)))?;
-        let far = site.server(streaming(2, 8, ms(10)))?;
-        let house = House::open(executor, site).await?;
+        let near = site.server(stream_server_settings(1, 8, ms(10)))?;
+        let far = site.server(stream_server_settings(2, 8, ms(10)))?;
+        let house = Harness::start_ready(executor, site).await?;
         let call = post("/s/x", "whole").with(names::LAST_EVENT, "3");
         let answer = house.call(&call).await?;
         ensure!(answer.complete, "{answer:?}");
-        ensure!(answer.body == text(4..=8), "{:?}", answer.ids());
+        ensure!(answer.body == stream_body(4..=8), "{:?}", answer.ids());
         near.fault(Fault::CutEvent, 1);
         far.fault(Fault::CutEvent, 1);
         let call = post("/s/x", "cut").with(names::LAST_EVENT, "3");
@@ -118,7 +124,10 @@
         ensure!(!answer.complete, "{answer:?}");
         let ids = answer.ids();
         let last = 3 + ids.len() as u64;
-        ensure!(ids.len() >= 2 && answer.body == text(4..=last), "{ids:?}");
+        ensure!(
+            ids.len() >= 2 && answer.body == stream_body(4..=last),
+            "{ids:?}"
+        );
         Ok(())
     })
 }
@@ -127,9 +136,9 @@
 fn a_stream_that_may_not_be_resumed_ends_incomplete() -> Result {
     run(async |executor| {
         let site = site()?;
-        let near = site.server(streaming(1, 8, ms(10)))?;
-        let far = site.server(streaming(2, 8, ms(10)))?;
-        let house = House::open(executor, site).await?;
+        let near = site.server(stream_server_settings(1, 8, ms(10)))?;
+        let far = site.server(stream_server_settings(2, 8, ms(10)))?;
+        let house = Harness::start_ready(executor, site).await?;
         for fault in [Fault::CutEvent, Fault::BreakOff] {
             near.fault(fault, 1);
             far.fault(fault, 1);
@@ -138,9 +147,9 @@
             ensure!(!answer.complete, "{answer:?}");
             ensure!(matches!(answer.end, End::Closed | End::Reset), "{answer:?}");
             let last = answer.ids().len() as u64;
-            ensure!(answer.body == text(1..=last), "{:?}", answer.body);
+            ensure!(answer.body == stream_body(1..=last), "{:?}", answer.body);
             ensure!(last >= 3, "events were held back");
-            let sent = arrived(&[&near, &far], &attempt);
+            let sent = count_deliveries(&[&near, &far], &attempt);
             ensure!(sent == 1, "sent to {sent} servers");
             near.heal();
             far.heal();
@@ -153,12 +162,12 @@
 fn events_are_passed_on_as_they_come() -> Result {
     run(async |executor| {
         let site = site()?;
-        let server = site.server(streaming(1, 5, ms(150)))?;
-        let house = House::open(executor, site).await?;
+        let server = site.server(stream_server_settings(1, 5, ms(150)))?;
+        let house = Harness::start_ready(executor, site).await?;
         let mut late = Vec::new();
         for target in ["/s/x", "/u/x"] {
             let answer = house.post(target, target).await?;
-            whole(&answer, &[&server], target)?;
+            ensure_served_by(&answer, &[&server], target)?;
             let first = answer.first_event().expect("an event");
             let last = answer.events.last().expect("an event").after;
             // Four pauses lie between the first and the last.
@@ -173,13 +182,13 @@
 fn a_client_that_leaves_a_stream_ends_it_at_the_server() -> Result {
     run(async |executor| {
         let site = site()?;
-        let server = site.server(streaming(1, 400, ms(50)))?;
-        let house = House::open(executor, site).await?;
+        let server = site.server(stream_server_settings(1, 400, ms(50)))?;
+        let house = Harness::start_ready(executor, site).await?;
         for target in ["/s/x", "/u/x"] {
             let call = post(target, target).leaving(ms(200));
             let answer = house.call(&call).await?;
             ensure!(answer.end == End::Left, "{answer:?}");
-            until("left", async || Ok(server.running() == 0)).await?;
+            wait_until("left", async || Ok(server.running() == 0)).await?;
         }
         ensure!(server.runs().len() == 2, "sent again for nobody");
         Ok(())
@@ -190,9 +199,9 @@
 fn a_resume_answered_with_an_error_counts_against_its_server() -> Result {
     run(async |executor| {
         let site = site()?;
-        let near = site.server(streaming(1, 8, ms(10)))?;
-        let far = site.server(streaming(2, 8, ms(10)))?;
-        let house = House::open(executor, site).await?;
+        let near = site.server(stream_server_settings(1, 8, ms(10)))?;
+        let far = site.server(stream_server_settings(2, 8, ms(10)))?;
+        let house = Harness::start_ready(executor, site).await?;
         near.fault(Fault::CutEvent, 1);
         far.fault(Fault::Failure, 1);
         let answer = house.post("/s/x", "cut").await?;
--- a/crates/relay/tests/relay/suspended.rs
+++ b/crates/relay/tests/relay/suspended.rs
@@ -13,23 +13,23 @@
 use tidepier_relay_standin::server::{Fault, Server};
 use tidepier_relay_standin::site::Site;
 
-use crate::hall::{self, keyed, with_key, Machine, REVOKE_TIME};
-use crate::house::{ms, run, until, usual, Executor, Result};
+use crate::box_harness::{self, site_with_keys, with_key, TestBox, REVOKE_TIME};
+use crate::harness::{ms, run, server_settings, wait_until, Executor, Result};
 
 /// Longer than anything is believed that others may change.
 const SUSPENDED: Duration = Duration::from_secs(8);
 
 /// A site with a server, and one box, which is ready.
-async fn alone(executor: &Executor) -> Result<(Site, Server, Machine)> {
-    let site = keyed()?;
-    let server = site.server(usual(1))?;
-    let machine = Machine::start(executor, &site, "box-0", "hall-1", 5_000).await?;
-    hall::ready(std::slice::from_ref(&machine)).await?;
+async fn alone(executor: &Executor) -> Result<(Site, Server, TestBox)> {
+    let site = site_with_keys()?;
+    let server = site.server(server_settings(1))?;
+    let machine = TestBox::start(executor, &site, "box-0", "hall-1", 5_000).await?;
+    box_harness::ready(std::slice::from_ref(&machine)).await?;
     Ok((site, server, machine))
 }
 
 /// Suspends a box while something happens elsewhere.
-async fn suspended(machine: &Machine, meanwhile: impl AsyncFnOnce() -> Result) -> Result {
+async fn suspended(machine: &TestBox, meanwhile: impl AsyncFnOnce() -> Result) -> Result {
     machine.freeze(true);
     Timer::after(ms(20)).await;
     meanwhile().await?;
@@ -58,7 +58,7 @@
         ensure!(!machine.is_ready(), "ready by an old proof");
         ensure!(SUSPENDED > REVOKE_TIME, "the case did not arise");
         machine.store.mend();
-        until("ready again", async || Ok(machine.is_ready())).await?;
+        wait_until("ready again", async || Ok(machine.is_ready())).await?;
         let answer = machine.call(&with_key("stays", "stays")).await?;
         ensure!(answer.status == 200, "{answer:?}");
         Ok(())
@@ -79,7 +79,7 @@
             Result::Ok((answer, start.elapsed()))
         };
         let stop = async {
-            until("running", async || Ok(server.running() == 1)).await?;
+            wait_until("running", async || Ok(server.running() == 1)).await?;
             suspended(&machine, async || Ok(())).await?;
             machine.freeze(false);
             Result::Ok(())
@@ -104,7 +104,7 @@
             std::future::pending::<Result>().await
         };
         let stopped = async {
-            until("running", async || Ok(server.running() == 1)).await?;
+            wait_until("running", async || Ok(server.running() == 1)).await?;
             let start = std::time::Instant::now();
             let stop = machine.router.stop();
             let suspends = async {
--- a/crates/relay/tests/relay/trees.rs
+++ b/crates/relay/tests/relay/trees.rs
@@ -13,10 +13,10 @@
 use tidepier_core::server::{Server, State};
 use tidepier_relay::message::follow::Row;
 use tidepier_relay::peer::tree;
-use tidepier_relay::record::{Place, Record};
+use tidepier_relay::server_history::{Cursor, History};
 
-use crate::desk::{id, server};
-use crate::house::Result;
+use crate::choice_harness::{id, server};
+use crate::harness::Result;
 
 /// Boxes of a hall of the largest fleet, and its servers.
 const BOXES: usize = 197;
@@ -35,16 +35,16 @@
 
 /// The parts of a list of so many servers, as they are sent.
 fn parts(servers: usize) -> Result<Vec<usize>> {
-    let record = Record::default();
+    let record = History::default();
     for number in 0..servers {
         let one = Server {
             id: id(&format!("i-{number:010x}"))?,
             ..server((number % 60_000) as u16, State::Ready)?
         };
-        record.is(Row::new(&one, Revision::of(1_000 + number as u64)));
+        record.upsert(Row::new(&one, Revision::of(1_000 + number as u64)));
     }
     record.confirm(Revision::of(20_000));
-    let (mut place, mut sizes, mut count) = (Place::default(), Vec::new(), 0);
+    let (mut place, mut sizes, mut count) = (Cursor::default(), Vec::new(), 0);
     loop {
         let (part, position) = record.part(&place);
         let mut bytes = Vec::new();
@@ -143,7 +143,7 @@
         for lost in 0..boxes {
             let mut askers = vec![0; boxes];
             for me in (1..boxes).filter(|me| *me != lost) {
-                let asked = tree::asked(&order, me);
+                let asked = tree::upstream_candidates(&order, me);
                 let mut alive = asked.into_iter().filter(|it| *it != lost);
                 let Some(first) = alive.next() else {
                     // Those right behind the first box read the store in its place.
--- a/crates/router/src/apply.rs
+++ b/crates/router/src/apply.rs
@@ -94,7 +94,7 @@
     match node.store.swap(&expected, &[put], &[], limit).await {
         Ok(Swap::Done(_)) => {}
         // A resent call meets its own write. The document is bound to no lease.
-        Ok(Swap::Conflict(_) | Swap::NoLease | Swap::OtherEra) => {
+        Ok(Swap::Conflict(_) | Swap::LeaseExpired | Swap::EraChanged) => {
             let (held, _) = read(node).await?;
             if held.as_ref().map(|held| held.apply) != Some(record.apply) {
                 return Err(conflict(held.as_ref()));
--- a/crates/router/src/dialect/chat.rs
+++ b/crates/router/src/dialect/chat.rs
@@ -77,7 +77,7 @@
             resumable: once.is_none(),
         },
         deadline: incoming.deadline.instant(),
-        pauses: PAUSES,
+        stall_timeouts: PAUSES,
     };
     let job = Job {
         work,
--- a/crates/router/src/dialect/engine.rs
+++ b/crates/router/src/dialect/engine.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use tidepier_core::answer::Event;
-use tidepier_core::work::{Pauses, Work};
+use tidepier_core::work::{Timeouts, Work};
 use tidepier_errors::{Fault, Kind};
 use tidepier_http::client::{Answer, Call};
 use tidepier_http::events::Frame;
@@ -15,7 +15,7 @@
 
 /// A stuck engine is known by these: some prompts take many seconds to read,
 /// tokens then come many times a second.
-pub(crate) const PAUSES: Pauses = Pauses {
+pub(crate) const PAUSES: Timeouts = Timeouts {
     first: Duration::from_secs(30),
     between: Duration::from_secs(3),
 };
--- a/crates/router/src/dialect/resume.rs
+++ b/crates/router/src/dialect/resume.rs
@@ -48,7 +48,7 @@
         // The request is not known here, so that no other engine can go on.
         kind: catalog::Kind::Stream { resumable: false },
         deadline: incoming.deadline.instant(),
-        pauses: PAUSES,
+        stall_timeouts: PAUSES,
     };
     let job = Job {
         work,
--- a/crates/router/src/stream.rs
+++ b/crates/router/src/stream.rs
@@ -170,8 +170,8 @@
     async fn read(&mut self) -> Result<Event, Break> {
         loop {
             let limit = match self.offset {
-                0 => self.job.work.pauses.first,
-                _ => self.job.work.pauses.between,
+                0 => self.job.work.stall_timeouts.first,
+                _ => self.job.work.stall_timeouts.between,
             };
             let body = self.body.as_mut().ok_or(Break::Bad("no stream"))?;
             let frame = match within(limit, body.next()).await {
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -45,7 +45,7 @@
 pub(crate) fn declare(site: &Site) {
     let route = |traffic: Traffic| {
         let (kind, service) = match traffic {
-            Traffic::Once => (Kind::Once, PLAIN),
+            Traffic::Once => (Kind::AtMostOnce, PLAIN),
             Traffic::Resumable => (Kind::Stream { resumable: true }, STREAM),
             Traffic::Single => (Kind::Stream { resumable: false }, STREAM),
             Traffic::Repeatable | Traffic::Keyed | Traffic::Mark => (Kind::Repeatable, PLAIN),
--- a/crates/steward/src/duty.rs
+++ b/crates/steward/src/duty.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 use tidepier_clock::Instant;
-use tidepier_core::store::{Item, Kept, LeaseId, Revision, Store, Swap, Write};
+use tidepier_core::store::{Item, LeaseId, LeaseState, Revision, Store, Swap, Write};
 use tidepier_errors::{Fault, Kind};
 use tidepier_ids as ids;
 use tidepier_store::fault;
@@ -95,7 +95,7 @@
         let swap = self.store.swap(&absent, &[put], &[], self.limit).await;
         let fencing = match swap {
             Ok(Swap::Done(revision)) => Some(revision),
-            Ok(Swap::Conflict(_) | Swap::NoLease | Swap::OtherEra) | Err(_) => {
+            Ok(Swap::Conflict(_) | Swap::LeaseExpired | Swap::EraChanged) | Err(_) => {
                 self.mine(&record).await?
             }
         };
@@ -129,12 +129,12 @@
     /// does not answer, and the duty may be acted on until its end.
     pub async fn keep(&self, hold: &mut Hold) -> Result<(), Fault> {
         let begun = Instant::now();
-        match self.store.keep(hold.lease, self.limit).await {
-            Ok(Kept::For(time)) => {
+        match self.store.renew(hold.lease, self.limit).await {
+            Ok(LeaseState::For(time)) => {
                 hold.until = begun + time.saturating_sub(MARGIN);
                 Ok(())
             }
-            Ok(Kept::Gone) => Err(Fault::new(Kind::Conflict, "the lease has lapsed")),
+            Ok(LeaseState::Gone) => Err(Fault::new(Kind::Conflict, "the lease has lapsed")),
             Err(failure) => Err(fault(failure)),
         }
     }
--- a/crates/store/src/etcd/mod.rs
+++ b/crates/store/src/etcd/mod.rs
@@ -15,7 +15,7 @@
 use serde::de::DeserializeOwned;
 use serde_json::{json, Value};
 use tidepier_core::store::{
-    Current, Failure, Item, Kept, Lease, LeaseId, Read, Revision, Scope, Store, Swap, Write,
+    Current, Failure, Item, Lease, LeaseId, LeaseState, Read, Revision, Scope, Store, Swap, Write,
 };
 use tidepier_http::client::{self, Call, Pool};
 
@@ -126,8 +126,8 @@
                 succeeded: true,
                 header,
             }) => Ok(Swap::Done(header.revision.revision())),
-            Ok(_) => Ok(Swap::Conflict(Current::Untold)),
-            Err(Failure::Refused(404)) if leased => Ok(Swap::NoLease),
+            Ok(_) => Ok(Swap::Conflict(Current::NotReported)),
+            Err(Failure::Refused(404)) if leased => Ok(Swap::LeaseExpired),
             Err(failure) => Err(failure),
         }
     }
@@ -145,14 +145,14 @@
         })
     }
 
-    async fn keep(&self, id: LeaseId, limit: Duration) -> Result<Kept, Failure> {
+    async fn renew(&self, id: LeaseId, limit: Duration) -> Result<LeaseState, Failure> {
         let body = json!({ "ID": id.0.to_string() });
         let reply: Renewal = self
             .call("lease_keepalive", "/v3/lease/keepalive", &body, limit)
             .await?;
         match reply.result.seconds {
-            format::Number(0) => Ok(Kept::Gone),
-            seconds => Ok(Kept::For(seconds.seconds())),
+            format::Number(0) => Ok(LeaseState::Gone),
+            seconds => Ok(LeaseState::For(seconds.seconds())),
         }
     }
 
--- a/tests/all/revisions.rs
+++ b/tests/all/revisions.rs
@@ -9,7 +9,7 @@
 /// with what it names, and boxes that know no eras.
 const ALLOWED: [(&str, usize); 4] = [
     ("crates/core/src/era.rs", 1),
-    ("crates/relay/src/standing.rs", 3),
+    ("crates/relay/src/era_state.rs", 3),
     ("crates/relay/src/rollout/mod.rs", 1),
     ("crates/relay/src/follow/boxes.rs", 1),
 ];
--- a/tests/all/stores.rs
+++ b/tests/all/stores.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use tidepier_core::store::{
-    Current, Event, Failure, Item, Kept, LeaseId, Revision, Scope, Store, Swap, Watch, Write,
+    Current, Event, Failure, Item, LeaseId, LeaseState, Revision, Scope, Store, Swap, Watch, Write,
 };
 use tidepier_http::client::Pool;
 use tidepier_standin::faults::Faults;
@@ -68,7 +68,7 @@
     // It is there by now.
     match store.swap(&absent, &writes, &[], LIMIT).await {
         Ok(Swap::Conflict(Current::Items(now))) => assert_eq!(now, std::slice::from_ref(&item)),
-        Ok(Swap::Conflict(Current::Untold)) => {}
+        Ok(Swap::Conflict(Current::NotReported)) => {}
         other => panic!("{other:?}"),
     }
     assert_eq!(get(store, a).await, Some(item));
@@ -122,15 +122,15 @@
     assert_eq!(lease.ttl, TERM);
     let writes = [write(key, b"1", Some(lease.id))];
     done(store.swap(&[], &writes, &[], LIMIT).await);
-    let kept = store.keep(lease.id, LIMIT).await.expect("an answer");
-    assert_eq!(kept, Kept::For(TERM));
+    let kept = store.renew(lease.id, LIMIT).await.expect("an answer");
+    assert_eq!(kept, LeaseState::For(TERM));
     store.end(lease.id, LIMIT).await.expect("ended");
     store.end(lease.id, LIMIT).await.expect("ended before");
     assert_eq!(get(store, key).await, None);
-    let gone = store.keep(lease.id, LIMIT).await.expect("an answer");
-    assert_eq!(gone, Kept::Gone);
+    let gone = store.renew(lease.id, LIMIT).await.expect("an answer");
+    assert_eq!(gone, LeaseState::Gone);
     let late = store.swap(&[], &writes, &[], LIMIT).await;
-    assert_eq!(late.expect("an answer"), Swap::NoLease);
+    assert_eq!(late.expect("an answer"), Swap::LeaseExpired);
     assert_eq!(get(store, key).await, None);
 }
 
