--- a/crates/relay/src/fleet/advertisement.rs
+++ b/crates/relay/src/fleet/advertisement.rs
@@ -1,18 +1,20 @@
-//! What a server says of itself.
+//! What a server advertises about itself.
 //!
-//! A server says that it leaves in its entry in the store and in each of its answers.
-//! The store may be away when it does, so that its answers are the only word of it;
-//! and an entry that says `ready` may be older than the answer, however it comes. And
-//! it may ask this box for rest ([`backoff`](super::backoff)). All of it is kept here, for
-//! one life of the server, and whoever sends to a server asks here first
-//! ([`Fleet::permit`](super::Fleet::permit)).
+//! A server advertises that it is leaving in its entry in the store and in each of its
+//! answers. If the store is unreachable at that time, only the answers say so; and an
+//! entry with the state `ready` may be older than the answer, whichever arrives last. A
+//! server may also request a back-off of this box ([`backoff`](super::backoff)). Both
+//! are kept here for one incarnation of the server, and whatever sends to a server
+//! checks them first ([`Fleet::permit`](super::Fleet::permit)).
 //!
 //! Invariants:
 //!
-//! * That a server leaves is not taken back in the same life.
-//! * The rest that it asked for ends with its time, its life or the operator's word.
-//! * A word outlives the server's entry: one that goes and comes back in the same life
-//!   finds it again (`parted`).
+//! * Once an incarnation of a server is leaving, it stays so.
+//! * A back-off ends when its time is over, when the incarnation ends or when the
+//!   operator cancels it.
+//! * The advertised state outlives the server's entry: a server whose entry is removed
+//!   and announced again in the same incarnation keeps its state
+//!   ([`departed`](super::departed)).
 
 use std::cell::Cell;
 use std::fmt;
@@ -22,79 +24,85 @@
 
 use super::backoff::Backoff;
 
-/// Rests that end within so long are one: each of several requests under way brings its
-/// own.
-const SAME_TIME: Duration = Duration::from_secs(1);
+/// Back-offs that end within this time of each other count as one: each of several
+/// requests in flight brings its own.
+const SAME_BACKOFF_SLACK: Duration = Duration::from_secs(1);
 
-/// How a server said that it leaves.
+/// How this box learned that a server is leaving.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Source {
-    /// By its entry in the store.
+pub enum LeavingSource {
+    /// From the server's entry in the store.
     Entry,
-    /// By an answer to this box.
+    /// From an answer to this box.
     Answer,
 }
 
-/// That a server leaves.
+/// That a server is leaving.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Leaving {
-    /// How it said so first.
-    pub source: Source,
-    /// When this box heard it.
-    pub heard: Instant,
+    /// How this box first learned it.
+    pub source: LeavingSource,
+    /// When this box learned it.
+    pub learned_at: Instant,
 }
 
-/// What one life of a server has said of itself.
+/// What one incarnation of a server has advertised.
 #[derive(Debug, Default)]
 pub struct Advertisement {
     leaving: Cell<Option<Leaving>>,
-    rest: Cell<Option<Backoff>>,
+    backoff: Cell<Option<Backoff>>,
 }
 
 impl Advertisement {
-    /// Records that the server leaves; returns whether that is new.
-    pub(super) fn leave(&self, source: Source, now: Instant) -> bool {
+    /// Records that the server is leaving. Returns whether that is new.
+    pub(super) fn mark_leaving(&self, source: LeavingSource, now: Instant) -> bool {
         let is_new = self.leaving.get().is_none();
         if is_new {
-            self.leaving.set(Some(Leaving { source, heard: now }));
+            self.leaving.set(Some(Leaving {
+                source,
+                learned_at: now,
+            }));
         }
         is_new
     }
 
-    /// That the server leaves, if it said so.
+    /// That the server is leaving, if it advertised so.
     pub fn leaving(&self) -> Option<Leaving> {
         self.leaving.get()
     }
 
-    /// Records that the server asks for rest; returns whether that is news: it had none,
-    /// or one that is over much sooner.
+    /// Records that the server requests a back-off. Returns whether that is new: there
+    /// was no back-off, or one that ends much sooner.
     ///
-    /// Of several such words the one that ends last holds: they come with answers to
-    /// requests that crossed each other, so that a shorter one takes nothing back.
-    pub(super) fn ask_rest(&self, asked: Duration, now: Instant) -> bool {
-        let known = self.rest.get().filter(|known| known.holds(now));
-        let rest = Backoff::new(asked, now);
-        let longer = known.is_none_or(|known| known.until < rest.until);
+    /// Of several requested back-offs the one that ends last applies. They come with
+    /// answers to requests that overtook each other, so that a shorter one does not
+    /// cancel a longer one.
+    pub(super) fn request_backoff(&self, requested: Duration, now: Instant) -> bool {
+        let known = self.backoff.get().filter(|known| known.is_active(now));
+        let backoff = Backoff::new(requested, now);
+        let longer = known.is_none_or(|known| known.until < backoff.until);
         if longer {
-            self.rest.set(Some(rest));
+            self.backoff.set(Some(backoff));
         }
-        longer && known.is_none_or(|known| known.until + SAME_TIME < rest.until)
+        longer && known.is_none_or(|known| known.until + SAME_BACKOFF_SLACK < backoff.until)
     }
 
-    /// The rest that the server asked for last, as long as it matters.
-    pub fn rest(&self) -> Option<Backoff> {
-        self.rest.get()
+    /// The back-off in effect, also after its time until [`Self::end_backoff`] removes
+    /// it.
+    pub fn backoff(&self) -> Option<Backoff> {
+        self.backoff.get()
     }
 
-    /// Ends the rest, as it is over or by the operator's word; returns whether there
-    /// was one.
-    pub(super) fn end_rest(&self) -> bool {
-        self.rest.take().is_some()
+    /// Removes the back-off, because it has ended or the operator cancels it. Returns
+    /// whether there was one.
+    pub(super) fn end_backoff(&self) -> bool {
+        self.backoff.take().is_some()
     }
 
-    /// Whether it says nothing that a later entry of the same life would have to find.
-    pub(super) fn is_silent(&self) -> bool {
-        self.leaving.get().is_none() && self.rest.get().is_none()
+    /// Whether nothing was advertised that has to be kept for a later entry of the same
+    /// incarnation.
+    pub(super) fn is_empty(&self) -> bool {
+        self.leaving.get().is_none() && self.backoff.get().is_none()
     }
 }
 
@@ -103,11 +111,11 @@
 pub enum Ineligible {
     /// Its entry is gone, or another server has its address.
     Gone,
-    /// It leaves.
+    /// It is leaving.
     Leaving,
     /// The operator asked to empty its hall.
     Emptied,
-    /// It asked this box for rest.
+    /// It requested a back-off of this box.
     BackingOff,
 }
 
@@ -115,9 +123,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Ineligible::Gone => "the server is gone",
-            Ineligible::Leaving => "the server leaves",
-            Ineligible::Emptied => "the server's hall is to be empty",
-            Ineligible::BackingOff => "the server asked for rest",
+            Ineligible::Leaving => "the server is leaving",
+            Ineligible::Emptied => "the operator asked to empty the server's hall",
+            Ineligible::BackingOff => "the server requested a back-off",
         })
     }
 }
--- a/crates/relay/src/fleet/backend.rs
+++ b/crates/relay/src/fleet/backend.rs
@@ -1,6 +1,6 @@
-//! One backend server: what runs there and how it answers.
+//! One backend server: the requests in flight there, and how it answers.
 //!
-//! Invariant: a request counts as under way until its [`InFlight`] is dropped.
+//! Invariant: a request counts as in flight until its [`InFlight`] is dropped.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -19,95 +19,101 @@
 use crate::cold::Window;
 use crate::health::{Health, Outcome};
 
-/// Longest time for which a server is believed to be cold.
+/// Longest time for which a server counts as cold.
 const COLD_MAX: Duration = Duration::from_secs(600);
 
-/// Less than that, and an entry that says for how much longer a server is cold says
-/// what was known: entries are written each second or so, and take as long here.
+/// Smallest extension of the cold time that counts as new. An entry states the time that
+/// is left when the entry is written; entries are written about once a second and take
+/// about as long to arrive, so that smaller differences mean nothing.
 const COLD_SLACK: Duration = Duration::from_millis(800);
 
-/// A load that the server reported, with what corrects it for later requests
-/// of this box.
+/// A load that the server reported, with the count that corrects it for requests that
+/// this box sends later.
 #[derive(Debug, Clone, Copy)]
 struct Report {
     load: Load,
     at: Instant,
-    /// Requests that this box had under way when it was reported.
-    own: u32,
+    /// Requests that this box had in flight when the load was reported.
+    in_flight: u32,
 }
 
-/// Requests that other boxes have under way at a server.
+/// Requests that other boxes have in flight at a server.
 #[derive(Debug, Clone, Copy)]
-struct Others {
+struct OtherBoxes {
     requests: u32,
-    /// How many boxes were counted.
+    /// Number of boxes that were counted.
     boxes: u32,
     at: Instant,
-    /// Requests that this box had under way then.
-    own: u32,
+    /// Requests that this box had in flight at `at`.
+    in_flight: u32,
 }
 
-impl Others {
-    /// The requests of all boxes while this one has `own`. What has come here
-    /// since the others were counted has come to each of them as well, if their
-    /// callers ask about the same: all but one request, which may be chance.
-    fn all(&self, own: u32) -> u32 {
-        let come = own.saturating_sub(self.own).saturating_sub(1);
-        let unseen = come.saturating_mul(self.boxes);
-        own.saturating_add(self.requests).saturating_add(unseen)
+impl OtherBoxes {
+    /// Estimates the requests of all boxes in flight while this box has `in_flight`.
+    /// Requests that this box has received since the others were counted have probably
+    /// reached each of the others as well, as far as their clients ask about the same
+    /// subject. One request is left out of that, because it may be chance.
+    fn estimate_total(&self, in_flight: u32) -> u32 {
+        let gained = in_flight.saturating_sub(self.in_flight).saturating_sub(1);
+        let unseen = gained.saturating_mul(self.boxes);
+        in_flight
+            .saturating_add(self.requests)
+            .saturating_add(unseen)
     }
 }
 
 /// One backend server.
 pub struct Backend {
-    /// As it announced itself first.
+    /// The server as it first announced itself.
     pub server: Server,
-    /// When this box learned of it: soon after it joined, unless the box has
+    /// When this box learned of the server: soon after the server joined, unless the box
     /// started later.
     pub known_since: Instant,
-    /// When it started, once that was told.
+    /// When the server started, once that was announced.
     born: Cell<Option<StartTime>>,
-    /// Requests that it works on at once, as it said last.
+    /// Requests that the server processes at once, as last announced.
     pub(super) slots: Cell<u32>,
-    /// Stands for its id between boxes.
+    /// Identifies this incarnation of the server in messages between boxes.
     pub key: Key,
-    /// What this box has seen of its health.
+    /// The server's health as observed by this box.
     pub health: Health,
-    /// What it has seen of all servers of its hall.
+    /// What this box has observed of all servers of the server's hall.
     pub hall: Rc<Hall>,
-    /// What it has said of itself in this life.
-    pub(super) word: Rc<Advertisement>,
-    /// Its entry is gone, or another server has its address.
-    over: Cell<bool>,
-    /// Its entry is gone while the store cannot be relied on.
+    /// What this incarnation of the server has advertised about itself.
+    pub(super) advertisement: Rc<Advertisement>,
+    /// Whether this incarnation has ended: its entry is gone, or another server has its
+    /// address.
+    ended: Cell<bool>,
+    /// Whether the server's entry is gone while the store cannot be relied on.
     pub(super) missing: Cell<bool>,
-    /// Requests of this box that are under way there.
+    /// Requests of this box in flight at the server.
     in_flight: Cell<u32>,
-    /// Requests of other boxes, as they told last.
-    others: Cell<Option<Others>>,
+    /// Requests of other boxes, as they last reported.
+    others: Cell<Option<OtherBoxes>>,
     /// The last load that the server reported.
     report: Cell<Option<Report>>,
-    /// Until when it is cold, as it told.
+    /// Until when the server is cold, as announced.
     cold: Cell<Option<Instant>>,
-    /// When nobody was last there: what comes back at its address is cold.
-    absent: Cell<Option<Instant>>,
-    /// What this box sent there while it was cold.
+    /// When the server was last found not listening. What comes back at its address is
+    /// cold.
+    unreachable_at: Cell<Option<Instant>>,
+    /// What this box has sent while the server was cold.
     pub pace: Window,
-    /// When something last came from it.
+    /// When data last came from the server.
     last_received: Cell<Option<Instant>>,
-    /// Prompt tokens sent by this box whose answers have not begun.
+    /// Prompt tokens that this box has sent and whose answers have not started.
     prefill: Cell<u64>,
     idle: Idle,
 }
 
-/// Counts a request as under way at a server until it is dropped.
+/// Counts a request as in flight at a server until it is dropped.
 pub struct InFlight {
     backend: Rc<Backend>,
     prefill: Cell<u64>,
 }
 
 impl InFlight {
-    /// The prompt has been read: its answer has begun.
+    /// Records that the answer has started: the server has read the prompt.
     pub fn answer_started(&self) {
         let tokens = self.prefill.replace(0);
         let prefill = &self.backend.prefill;
@@ -118,28 +124,28 @@
 impl Drop for InFlight {
     fn drop(&mut self) {
         self.answer_started();
-        let own = &self.backend.in_flight;
-        own.set(own.get().saturating_sub(1));
+        let in_flight = &self.backend.in_flight;
+        in_flight.set(in_flight.get().saturating_sub(1));
     }
 }
 
 impl Backend {
     pub(super) fn new(
         server: Server,
-        word: Rc<Advertisement>,
+        advertisement: Rc<Advertisement>,
         hall: Rc<Hall>,
         now: Instant,
     ) -> Self {
         Self {
             hall,
             known_since: now,
-            key: Key::of_life(&server),
-            word,
-            over: Cell::new(false),
+            key: Key::of_incarnation(&server),
+            advertisement,
+            ended: Cell::new(false),
             slots: Cell::new(server.slots),
             born: Cell::new(server.born),
             cold: Cell::new(until(server.cold, now)),
-            absent: Cell::new(None),
+            unreachable_at: Cell::new(None),
             pace: Window::default(),
             server,
             health: Health::default(),
@@ -153,66 +159,73 @@
         }
     }
 
-    /// When it started, once that was told.
+    /// When the server started, once that was announced.
     pub fn born(&self) -> Option<StartTime> {
         self.born.get()
     }
 
-    /// Whether an announcement under its id is of this life. One without a birth
-    /// says nothing against it: boxes of an older form pass on none.
-    pub(super) fn is_life_of(&self, told: &Server) -> bool {
-        let births = self.born.get().zip(told.born);
-        let same_birth = births.is_none_or(|(known, told)| known == told);
-        self.server.address == told.address && self.server.service == told.service && same_birth
+    /// Whether an announcement with the same id is of this incarnation. One without a
+    /// start time does not contradict it: boxes that use an older message format pass on
+    /// no start times.
+    pub(super) fn is_same_incarnation(&self, announced: &Server) -> bool {
+        let start_times = self.born.get().zip(announced.born);
+        let same_start = start_times.is_none_or(|(known, announced)| known == announced);
+        self.server.address == announced.address
+            && self.server.service == announced.service
+            && same_start
     }
 
-    /// Records the birth of this life, if it is told.
-    pub(super) fn learn_birth(&self, told: Option<StartTime>) {
-        self.born.set(self.born.get().or(told));
+    /// Records the start time of this incarnation, if one is announced and none is
+    /// known.
+    pub(super) fn record_start_time(&self, announced: Option<StartTime>) {
+        self.born.set(self.born.get().or(announced));
     }
 
-    /// Requests that it works on at once.
+    /// Requests that the server processes at once.
     pub fn slots(&self) -> u32 {
         self.slots.get()
     }
 
-    /// What it has said of itself in this life.
+    /// What this incarnation of the server has advertised about itself.
     pub fn word(&self) -> &Advertisement {
-        &self.word
+        &self.advertisement
     }
 
-    /// Whether it takes anything new of this box now.
+    /// Checks that the server accepts new requests of this box now.
     ///
     /// # Errors
     ///
-    /// It does not.
-    pub fn takes(&self, now: Instant) -> Result<(), Ineligible> {
-        self.standing()?;
+    /// Returns the reason if it does not.
+    pub fn check_eligible(&self, now: Instant) -> Result<(), Ineligible> {
+        self.check_serving()?;
         if self.is_backing_off(now) {
             return Err(Ineligible::BackingOff);
         }
         Ok(())
     }
 
-    /// The rest that it asked this box for, while that holds.
-    pub fn rest(&self, now: Instant) -> Option<Backoff> {
-        self.word.rest().filter(|rest| rest.holds(now))
+    /// The back-off that the server requested of this box, while it lasts.
+    pub fn backoff(&self, now: Instant) -> Option<Backoff> {
+        self.advertisement
+            .backoff()
+            .filter(|backoff| backoff.is_active(now))
     }
 
-    /// Whether it asked this box for rest that is not over.
+    /// Whether the server requested a back-off of this box that has not ended.
     pub fn is_backing_off(&self, now: Instant) -> bool {
-        self.rest(now).is_some()
+        self.backoff(now).is_some()
     }
 
-    /// Whether it takes anything new of any box.
+    /// Checks that the server accepts new requests of any box; a back-off concerns one
+    /// box only.
     ///
     /// # Errors
     ///
-    /// It does not.
-    pub(super) fn standing(&self) -> Result<(), Ineligible> {
-        if self.over.get() {
+    /// Returns the reason if it does not.
+    pub(super) fn check_serving(&self) -> Result<(), Ineligible> {
+        if self.ended.get() {
             Err(Ineligible::Gone)
-        } else if self.word.leaving().is_some() {
+        } else if self.advertisement.leaving().is_some() {
             Err(Ineligible::Leaving)
         } else if self.hall.is_emptied() {
             Err(Ineligible::Emptied)
@@ -221,56 +234,59 @@
         }
     }
 
-    /// Whether it takes new requests: it is not leaving, and the operator has not
-    /// asked to empty its hall.
+    /// Whether the server accepts new requests: it is not leaving, and the operator has
+    /// not asked to empty its hall.
     pub fn accepts_requests(&self) -> bool {
-        self.standing().is_ok()
+        self.check_serving().is_ok()
     }
 
-    /// Whether it is cold, by what it told or by what happened to it; its service
-    /// says that it is for `time` after a start.
+    /// Whether the server is cold: it announced that it is, or it was found not
+    /// listening less than `time` ago, or the operator cancelled the emptying of its
+    /// hall less than `time` ago. `time` is how long servers of its service stay cold
+    /// after a start.
     pub fn is_cold(&self, time: Duration, now: Instant) -> bool {
-        let told = self.cold.get().is_some_and(|until| now < until);
-        let was_absent = self.absent.get().is_some_and(|at| now < at + time);
-        told || was_absent || self.hall.returned_within(time, now)
+        let announced = self.cold.get().is_some_and(|until| now < until);
+        let was_unreachable = self.unreachable_at.get().is_some_and(|at| now < at + time);
+        announced || was_unreachable || self.hall.emptying_cancelled_within(time, now)
     }
 
-    /// Whether nobody was there at some time of this life, as far as is known here.
+    /// Whether this box has found the server not listening in this incarnation.
     pub fn was_unreachable(&self) -> bool {
-        self.absent.get().is_some()
+        self.unreachable_at.get().is_some()
     }
 
-    /// How much longer it is cold, as it told.
+    /// How much longer the server is cold, as announced.
     pub fn cold_left(&self, now: Instant) -> Duration {
         let until = self.cold.get();
         until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
-    /// Records how much longer it is cold as of `now`; returns whether that ends
-    /// later than was known.
+    /// Records that the server is cold for `left` longer as of `now`. Returns whether
+    /// that ends later than was known.
     pub(super) fn set_cold(&self, left: Duration, now: Instant) -> bool {
         let known = self.cold_left(now);
         self.cold.set(until(left, now));
         left > known + COLD_SLACK
     }
 
-    /// Whether its entry is gone while the store cannot be relied on.
+    /// Whether the server's entry is gone while the store cannot be relied on.
     pub fn is_missing(&self) -> bool {
         self.missing.get()
     }
 
-    /// Whether this box has no reason to leave it out: neither its own failures
-    /// nor a silence of its hall.
+    /// Whether this box has no reason to avoid the server: it is not ejected after
+    /// failures, and its hall is not unresponsive.
     pub fn is_healthy(&self, now: Instant) -> bool {
         self.health.allows(now) && !self.hall.is_unresponsive(now)
     }
 
-    /// Requests of this box that are under way there.
+    /// Requests of this box in flight at the server.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.get()
     }
 
-    /// Counts a request with so many prompt tokens to read as under way.
+    /// Counts a request with `prefill` prompt tokens as in flight until the returned
+    /// guard is dropped.
     pub fn run(self: &Rc<Self>, prefill: u64) -> InFlight {
         self.in_flight.set(self.in_flight.get() + 1);
         self.prefill.set(self.prefill.get() + prefill);
@@ -280,29 +296,29 @@
         }
     }
 
-    /// Prompt tokens sent by this box whose answers have not begun.
+    /// Prompt tokens that this box has sent and whose answers have not started.
     pub fn prefill(&self) -> u64 {
         self.prefill.get()
     }
 
-    /// Records that something came from it.
+    /// Records that data came from the server.
     pub fn record_received(&self) {
         let now = Instant::now();
         self.last_received.set(Some(now));
-        self.hall.hear(now);
+        self.hall.record_received(now);
     }
 
-    /// Records how a request there ended.
+    /// Records how a request to the server ended.
     pub fn record(&self, outcome: Outcome, now: Instant) {
         match outcome {
-            Outcome::Unresponsive => self.hall.miss(now),
-            Outcome::NotListening => self.absent.set(Some(now)),
+            Outcome::Unresponsive => self.hall.record_unresponsive(now),
+            Outcome::NotListening => self.unreachable_at.set(Some(now)),
             Outcome::Succeeded | Outcome::Errored => {}
         }
         self.health.record(outcome, now);
     }
 
-    /// When something last came from it.
+    /// When data last came from the server.
     pub fn last_received(&self) -> Option<Instant> {
         self.last_received.get()
     }
@@ -312,67 +328,69 @@
         self.report.set(Some(Report {
             load,
             at,
-            own: self.in_flight.get(),
+            in_flight: self.in_flight.get(),
         }));
     }
 
-    /// Records what so many other boxes have under way there.
+    /// Records how many requests `boxes` other boxes have in flight at the server.
     pub(super) fn set_others(&self, requests: u32, boxes: u32, at: Instant) {
-        self.others.set(Some(Others {
+        self.others.set(Some(OtherBoxes {
             requests,
             boxes,
             at,
-            own: self.in_flight.get(),
+            in_flight: self.in_flight.get(),
         }));
     }
 
-    /// Requests of this box and of others that were counted less than `most`
-    /// ago.
-    pub fn total_in_flight(&self, most: Duration, now: Instant) -> Option<u32> {
+    /// Requests of all boxes in flight at the server, if those of the other boxes were
+    /// counted less than `most` ago.
+    pub fn total_in_flight(&self, max_age: Duration, now: Instant) -> Option<u32> {
         let others = self.others.get()?;
-        let recent = now.duration_since(others.at) < most;
-        recent.then(|| others.all(self.in_flight.get()))
+        let recent = now.duration_since(others.at) < max_age;
+        recent.then(|| others.estimate_total(self.in_flight.get()))
     }
 
-    /// The last load reported that is younger than `most`, corrected by what
-    /// this box has sent and finished since: requests running and waiting.
-    pub fn load(&self, most: Duration) -> Option<u32> {
+    /// Requests running and waiting at the server by its last reported load, if that is
+    /// younger than `most`, corrected by what this box has sent and finished since.
+    pub fn load(&self, max_age: Duration) -> Option<u32> {
         let report = self.report.get();
-        let report = report.filter(|report| report.at.elapsed() < most)?;
+        let report = report.filter(|report| report.at.elapsed() < max_age)?;
         let sum = report.load.running + report.load.waiting;
         Some(
             (sum + self.in_flight.get())
-                .saturating_sub(report.own)
+                .saturating_sub(report.in_flight)
                 .max(self.in_flight.get()),
         )
     }
 
-    /// A resting connection that is still good; none that has rested longer
-    /// than `rest`.
-    pub fn connection(&self, rest: Duration) -> Option<Conn> {
-        self.idle.take(rest)
+    /// Takes an idle connection that is still usable and has been idle for less than
+    /// `rest`.
+    pub fn connection(&self, max_idle: Duration) -> Option<Conn> {
+        self.idle.take(max_idle)
     }
 
-    /// Keeps a connection on which nothing is under way.
+    /// Keeps a connection without a request in flight for reuse, unless the server no
+    /// longer accepts requests.
     pub fn keep(&self, conn: Conn, keep_alive: Option<Duration>) {
         if self.accepts_requests() {
             self.idle.put(conn, keep_alive);
         }
     }
 
-    /// Records that this life of it is over.
+    /// Ends this incarnation and closes its idle connections.
     pub(super) fn end(&self) {
-        self.over.set(true);
+        self.ended.set(true);
         self.idle.clear();
     }
 
-    /// Closes the connections that rest.
-    pub(super) fn close_resting(&self) {
+    /// Closes the idle connections.
+    pub(super) fn close_idle(&self) {
         self.idle.clear();
     }
 }
 
-/// When something ends that lasts so much longer; `None` for what has ended.
+/// When something ends that lasts `left` longer, at most [`COLD_MAX`]; `None` if nothing
+/// is left.
 fn until(left: Duration, now: Instant) -> Option<Instant> {
     (!left.is_zero()).then(|| now + left.min(COLD_MAX))
 }
--- a/crates/relay/src/fleet/idle.rs
+++ b/crates/relay/src/fleet/idle.rs
@@ -1,4 +1,4 @@
-//! Connections to one server that rest between requests.
+//! Idle connections to one server.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -6,34 +6,34 @@
 use tidepier_clock::Instant;
 use tidepier_h1::Conn;
 
-/// Resting connections that are kept for one server.
+/// Most idle connections that are kept for one server.
 const IDLE_MAX: usize = 24;
-/// Rest after which a connection is not used again where the server does not
-/// say how long it keeps one.
+/// Idle time after which a connection is not reused where the server does not say how
+/// long it keeps one open.
 const IDLE_TIME: Duration = Duration::from_secs(4);
-/// Taken off the time that a server says it keeps a connection, for the way of
-/// a request to it.
+/// Subtracted from the time for which the server says that it keeps a connection open,
+/// so that a request still arrives in that time.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
 
-/// A connection that rests.
-struct Resting {
+/// An idle connection.
+struct IdleConn {
     conn: Conn,
     since: Instant,
     until: Instant,
 }
 
-/// The resting connections, the one used last at the end.
+/// The idle connections, the most recently used one last.
 #[derive(Default)]
-pub(super) struct Idle(RefCell<Vec<Resting>>);
+pub(super) struct Idle(RefCell<Vec<IdleConn>>);
 
 impl Idle {
-    /// Takes one that is still good and has not rested longer than `rest`;
-    /// drops those that are used up.
-    pub(super) fn take(&self, rest: Duration) -> Option<Conn> {
+    /// Takes a connection that is still usable and has been idle for less than `rest`;
+    /// drops those that are not.
+    pub(super) fn take(&self, max_idle: Duration) -> Option<Conn> {
         let now = Instant::now();
         let mut idle = self.0.borrow_mut();
         while let Some(mut last) = idle.pop() {
-            let usable = last.until > now && now - last.since < rest;
+            let usable = last.until > now && now - last.since < max_idle;
             if usable && last.conn.rests() {
                 return Some(last.conn);
             }
@@ -41,8 +41,8 @@
         None
     }
 
-    /// Keeps a connection if nothing is under way on it and there is room.
-    /// `keep_alive` is how long the server says that it keeps it.
+    /// Keeps a connection if no request is in flight on it and there is room.
+    /// `keep_alive` is how long the server says that it keeps the connection open.
     pub(super) fn put(&self, mut conn: Conn, keep_alive: Option<Duration>) {
         if !conn.rests() {
             return;
@@ -53,7 +53,7 @@
         let mut idle = self.0.borrow_mut();
         idle.retain(|other| other.until > now);
         if idle.len() < IDLE_MAX {
-            idle.push(Resting {
+            idle.push(IdleConn {
                 conn,
                 since: now,
                 until,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Closes all.
+    /// Closes all of them.
     pub(super) fn clear(&self) {
         self.0.borrow_mut().clear();
     }
--- a/crates/relay/src/fleet/mod.rs
+++ b/crates/relay/src/fleet/mod.rs
@@ -1,18 +1,18 @@
-//! The backend servers, and what this box has seen of each.
+//! The backend servers, and what this box has observed of each.
 //!
 //! Invariants:
 //!
 //! * A server that is leaving or gone is never returned by [`Fleet::serving`].
 //! * Nothing is sent to a server without a [`Permit`].
-//! * One life of a server is its id and its birth: all that is known of one life
-//!   is dropped with it.
+//! * One incarnation of a server is identified by its id and its start time (`born`).
+//!   All that is known of an incarnation is dropped with it.
 
 pub mod advertisement;
 mod backend;
 pub mod backoff;
+mod departed;
 mod hall;
 mod idle;
-mod parted;
 mod permit;
 pub(crate) mod watch;
 
@@ -30,32 +30,32 @@
 use tidepier_platform::answer::MISDIRECTED;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use advertisement::{Ineligible, Source};
+use advertisement::{Ineligible, LeavingSource};
 pub use backend::{Backend, InFlight};
 use backoff::Backoff;
+use departed::Departed;
 pub use hall::Hall;
-use parted::Parted;
 pub use permit::Permit;
 
-/// Stands for one life of a server in what boxes tell each other: half of its hash.
-/// Two of 900 servers have the same one in one fleet of 10,000, which then
-/// counts them together.
+/// Identifies one incarnation of a server in messages between boxes: the lower half of a
+/// 64-bit hash. In one of 10,000 fleets of 900 servers two have the same key; their
+/// counts are then added up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Key(u32);
 
 impl Key {
-    /// The key of a server that does not tell its birth.
+    /// The key of a server whose start time is unknown.
     pub fn new(id: &ids::Server) -> Self {
         Self(xxh3_64(id.as_str().as_bytes()) as u32)
     }
 
-    /// Its bytes, to hash it.
+    /// The bytes of the key, as input for a hash.
     pub fn bytes(self) -> [u8; 4] {
         self.0.to_le_bytes()
     }
 
-    /// The key of one life of a server.
-    pub fn of_life(server: &Server) -> Self {
+    /// The key of one incarnation of a server.
+    pub fn of_incarnation(server: &Server) -> Self {
         let id = server.id.as_str().as_bytes();
         match server.born {
             None => Self::new(&server.id),
@@ -64,13 +64,13 @@
     }
 }
 
-/// Requests under way at one server.
+/// Requests in flight at one server.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(from = "(Key, u32)", into = "(Key, u32)")]
 pub struct Count {
     /// The server.
     pub server: Key,
-    /// How many.
+    /// The number of requests.
     pub requests: u32,
 }
 
@@ -86,25 +86,25 @@
     }
 }
 
-/// What an answer says that is new of the server that gave it.
+/// What an answer advertises about the server that gave it and was not known before.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Said {
-    /// That it leaves.
+pub struct Update {
+    /// Whether it is leaving.
     pub leaving: bool,
-    /// That it wants nothing of this box for so long.
-    pub rest: Option<Duration>,
+    /// The back-off that it requests of this box.
+    pub backoff: Option<Duration>,
 }
 
 /// What an announcement changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// A server came.
+    /// A server joined.
     Joined,
-    /// A server started again under its id.
+    /// A server restarted under the same id.
     Restarted,
-    /// A server says that it leaves.
+    /// A server is leaving.
     Leaving,
-    /// A server is cold for longer than was known.
+    /// A server stays cold for longer than was known.
     ColdForLonger,
     /// Nothing that matters here.
     None,
@@ -115,102 +115,102 @@
 pub struct Fleet {
     halls: RefCell<HashMap<ids::Hall, Rc<Hall>>>,
     servers: RefCell<HashMap<ids::Server, Rc<Backend>>>,
-    /// Servers by where they listen.
+    /// Servers by listening address.
     addresses: RefCell<HashMap<SocketAddr, Vec<ids::Server>>>,
-    /// What servers said whose entries are gone.
-    parted: Parted,
-    /// The servers of services that were asked for since these last changed.
+    /// What servers advertised whose entries are gone.
+    departed: Departed,
+    /// The servers by service, built when a service is first looked up after a change.
     services: RefCell<HashMap<ids::Service, Group>>,
 }
 
 /// The servers of one service.
 #[derive(Clone)]
 struct Group {
-    /// Those that take new requests.
+    /// Servers that accept new requests.
     serving: Rc<[Rc<Backend>]>,
-    /// Those that would if their halls were not to be empty.
+    /// Servers that would if the operator had not asked to empty their halls.
     emptied: Rc<[Rc<Backend>]>,
-    /// How many leave.
+    /// Number of servers that are leaving.
     leaving: usize,
 }
 
 impl Fleet {
-    /// Records an announcement that this box learned of at `now`; servers that
-    /// it learns of together have the same moment.
+    /// Records an announcement that this box learned of at `now`. Servers that the box
+    /// learns of together are given the same time.
     pub fn announce(&self, server: Server, now: Instant) -> Change {
         let mut restarted = false;
         let known = self.servers.borrow().get(&server.id).cloned();
         if let Some(backend) = known {
             backend.missing.set(false);
-            if backend.is_life_of(&server) {
-                backend.learn_birth(server.born);
+            if backend.is_same_incarnation(&server) {
+                backend.record_start_time(server.born);
                 backend.slots.set(server.slots);
                 let colder = backend.set_cold(server.cold, now);
-                return match self.restate(&backend, server.state, now) {
+                return match self.apply_state(&backend, server.state, now) {
                     Change::None if colder => Change::ColdForLonger,
                     change => change,
                 };
             }
-            // Another life has the id now: this one is gone, from the list of
-            // its service too.
+            // Another incarnation has the id now: the old one is removed, also from the
+            // list of its service.
             self.remove(&server.id);
             restarted = true;
         }
-        let word = self.parted.word_of(&server);
+        let advertisement = self.departed.take_advertisement(&server);
         if server.state == State::Draining {
-            word.leave(Source::Entry, now);
+            advertisement.mark_leaving(LeavingSource::Entry, now);
         }
-        let change = match word.leaving() {
+        let change = match advertisement.leaving() {
             Some(_) => Change::Leaving,
             None if restarted => Change::Restarted,
             None => Change::Joined,
         };
         let service = server.service.clone();
         let hall = self.hall(&server.hall);
-        let backend = Rc::new(Backend::new(server, word, hall, now));
+        let backend = Rc::new(Backend::new(server, advertisement, hall, now));
         let id = backend.server.id.clone();
         let mut addresses = self.addresses.borrow_mut();
         let there = addresses.entry(backend.server.address).or_default();
         there.push(id.clone());
         self.servers.borrow_mut().insert(id, backend);
-        self.regroup(&service);
+        self.invalidate_group(&service);
         change
     }
 
-    fn restate(&self, backend: &Rc<Backend>, state: State, now: Instant) -> Change {
-        // A server that leaves does not come back in the same life: an entry that says
-        // it is ready is older, whoever brings it.
-        if state == State::Draining && self.leaves(backend, Source::Entry, now) {
+    fn apply_state(&self, backend: &Rc<Backend>, state: State, now: Instant) -> Change {
+        // A server that is leaving stays so for the whole incarnation: an entry with the
+        // state `ready` is older, whoever sends it.
+        if state == State::Draining && self.record_leaving(backend, LeavingSource::Entry, now) {
             Change::Leaving
         } else {
             Change::None
         }
     }
 
-    /// Records that a server leaves; returns whether that is new.
-    fn leaves(&self, backend: &Backend, source: Source, now: Instant) -> bool {
-        let is_new = backend.word.leave(source, now);
+    /// Records that a server is leaving. Returns whether that is new.
+    fn record_leaving(&self, backend: &Backend, source: LeavingSource, now: Instant) -> bool {
+        let is_new = backend.advertisement.mark_leaving(source, now);
         if is_new {
-            backend.close_resting();
-            self.regroup(&backend.server.service);
+            backend.close_idle();
+            self.invalidate_group(&backend.server.service);
         }
         is_new
     }
 
-    /// Whether something may be sent to a server now.
+    /// Checks that something may be sent to a server now.
     ///
     /// # Errors
     ///
-    /// The server takes nothing new.
+    /// Returns the reason if the server accepts nothing new.
     pub fn permit(&self, backend: &Rc<Backend>, now: Instant) -> Result<Permit, Ineligible> {
         Permit::new(backend, now)
     }
 
-    /// Records what the head of an answer to `attempt` says of the server that gave it,
-    /// while `asked` was asked; logs and counts what is new.
+    /// Records what the head of an answer to `attempt`, which was sent to `asked`,
+    /// advertises about the server that gave it. Logs and counts what is new.
     pub fn observe_answer(&self, asked: &Rc<Backend>, answer: &Answer, attempt: &str) {
-        let said = self.apply_answer(asked, answer, Instant::now());
-        if said == Said::default() {
+        let update = self.apply_answer(asked, answer, Instant::now());
+        if update == Update::default() {
             return;
         }
         log::info!(
@@ -219,62 +219,74 @@
             asked.server.id,
             answer.server.as_deref().unwrap_or("-"),
             answer.status,
-            said.leaving,
-            said.rest.map_or(0, |time| time.as_millis()),
+            update.leaving,
+            update.backoff.map_or(0, |time| time.as_millis()),
         );
-        for (says, is_new) in [("leaving", said.leaving), ("rest", said.rest.is_some())] {
+        for (says, is_new) in [
+            ("leaving", update.leaving),
+            ("rest", update.backoff.is_some()),
+        ] {
             metrics::counter!("tidepier_words_total", "says" => says).increment(u64::from(is_new));
         }
     }
 
-    /// Records what the head of an answer says at `now`; returns what is new of it.
+    /// Records what the head of an answer, received at `now`, advertises. Returns what
+    /// is new.
     ///
-    /// An answer is a server's only word while the store is away: a box that went by
-    /// entries alone sent for nine seconds to a server that said in each answer that it
-    /// leaves, and its callers lose what it does not live to end.
-    pub fn apply_answer(&self, asked: &Rc<Backend>, answer: &Answer, now: Instant) -> Said {
-        let Some(speaker) = self.speaker(asked, answer) else {
-            return Said::default();
+    /// While the store is unreachable, answers are the only source of this. A box that
+    /// used entries alone sent requests for nine seconds to a server each of whose
+    /// answers said that it was leaving; such requests are lost if the server ends
+    /// before they do.
+    pub fn apply_answer(&self, asked: &Rc<Backend>, answer: &Answer, now: Instant) -> Update {
+        let Some(answering_server) = self.answering_server(asked, answer) else {
+            return Update::default();
         };
-        let rest = answer
+        let backoff = answer
             .requested_backoff()
-            .filter(|time| speaker.word.ask_rest(*time, now));
-        Said {
-            leaving: answer.leaving && self.leaves(&speaker, Source::Answer, now),
-            rest,
+            .filter(|time| answering_server.advertisement.request_backoff(*time, now));
+        Update {
+            leaving: answer.leaving
+                && self.record_leaving(&answering_server, LeavingSource::Answer, now),
+            backoff,
         }
     }
 
-    /// Ends the rest that a server asked for, by the operator's word; returns whether
-    /// there was one.
+    /// Ends the back-off that a server requested, at the operator's request. Returns
+    /// whether there was one.
     pub fn cancel_backoff(&self, id: &ids::Server) -> bool {
-        self.get(id).is_some_and(|it| it.word.end_rest())
+        self.get(id)
+            .is_some_and(|it| it.advertisement.end_backoff())
     }
 
-    /// Ends the rests that are over, and returns whose they were.
-    pub(crate) fn rested(&self, now: Instant) -> Vec<ids::Server> {
+    /// Removes the back-offs that have ended, and returns the servers that requested
+    /// them.
+    pub(crate) fn expire_backoffs(&self, now: Instant) -> Vec<ids::Server> {
         let servers = self.servers.borrow();
-        let rested = servers.values().filter(|it| {
-            let rest = it.word.rest();
-            rest.is_some_and(|rest| !rest.holds(now)) && it.word.end_rest()
+        let expire_backoffs = servers.values().filter(|it| {
+            let backoff = it.advertisement.backoff();
+            backoff.is_some_and(|backoff| !backoff.is_active(now)) && it.advertisement.end_backoff()
         });
-        rested.map(|it| it.server.id.clone()).collect()
+        expire_backoffs.map(|it| it.server.id.clone()).collect()
     }
 
-    /// Servers that say that they leave, and those that rest.
+    /// Numbers of servers that are leaving and of servers backing off.
     pub fn withheld(&self, now: Instant) -> (usize, usize) {
         let servers = self.servers.borrow();
-        let leaving = servers.values().filter(|it| it.word.leaving().is_some());
-        let resting = servers.values().filter(|it| it.is_backing_off(now));
-        (leaving.count(), resting.count())
-    }
-
-    /// Of whom an answer speaks that came from the address of `asked`: the server that
-    /// it names, if that one is known there. One that names nobody is of the server that
-    /// was asked, unless it says that it is another; a list of what is kept, to which a
-    /// server answers whoever is asked, then speaks of one that leaves or of one that
-    /// has taken the address of one that is gone: neither is to be asked again.
-    fn speaker(&self, asked: &Rc<Backend>, answer: &Answer) -> Option<Rc<Backend>> {
+        let leaving = servers
+            .values()
+            .filter(|it| it.advertisement.leaving().is_some());
+        let backing_off = servers.values().filter(|it| it.is_backing_off(now));
+        (leaving.count(), backing_off.count())
+    }
+
+    /// The server that an answer from the address of `asked` is about: the server that
+    /// it names, if that one is known at this address. An answer that names no server is
+    /// about `asked`, unless its status says that another server has the address. A
+    /// server also answers a query for its kept entries when the query was meant for
+    /// another server; such an answer then concerns a server that is leaving, or one
+    /// that has taken over the address of a server that is gone. Neither is to be sent
+    /// anything more.
+    fn answering_server(&self, asked: &Rc<Backend>, answer: &Answer) -> Option<Rc<Backend>> {
         match answer.server.as_deref() {
             Some(named) if named == asked.server.id.as_str() => Some(asked.clone()),
             Some(named) => {
@@ -291,14 +303,15 @@
         halls.entry(name.clone()).or_default().clone()
     }
 
-    /// The halls that servers are in, or were.
+    /// The halls of all servers that are or were known, and those that were ever set to
+    /// be empty.
     pub fn halls(&self) -> Vec<ids::Hall> {
         self.halls.borrow().keys().cloned().collect()
     }
 
-    /// Sets which halls the operator asked to empty, as learned at `now`: from
-    /// now on their servers get nothing new, and connections to them that rest
-    /// are closed. Returns those for which that changed, and to what.
+    /// Sets the halls that the operator asked to empty, as learned at `now`. From now on
+    /// their servers get nothing new, and the idle connections to them are closed.
+    /// Returns the halls for which this changed, with `true` for those to be emptied.
     pub fn set_emptied(
         &self,
         emptied: &BTreeSet<ids::Hall>,
@@ -314,7 +327,7 @@
         });
         let changed: Vec<(ids::Hall, bool)> = changed.collect();
         for (name, _) in changed.iter().filter(|(_, empty)| *empty) {
-            self.of_hall(name, |backend| backend.close_resting());
+            self.for_each_in_hall(name, |backend| backend.close_idle());
         }
         if !changed.is_empty() {
             self.services.borrow_mut().clear();
@@ -322,21 +335,20 @@
         changed
     }
 
-    /// Requests of this box under way in a hall.
+    /// Requests of this box in flight in a hall.
     pub fn running_in(&self, hall: &ids::Hall) -> u32 {
         let mut sum = 0;
-        self.of_hall(hall, |backend| sum += backend.in_flight());
+        self.for_each_in_hall(hall, |backend| sum += backend.in_flight());
         sum
     }
 
-    fn of_hall(&self, hall: &ids::Hall, each: impl FnMut(&Rc<Backend>)) {
+    fn for_each_in_hall(&self, hall: &ids::Hall, each: impl FnMut(&Rc<Backend>)) {
         let servers = self.servers.borrow();
         let there = servers.values();
         there.filter(|it| it.server.hall == *hall).for_each(each);
     }
 
-    /// Records that a server's entry is missing while that may be the store's
-    /// fault.
+    /// Records that a server's entry is missing while the store may be at fault.
     pub fn mark_missing(&self, id: &ids::Server) {
         if let Some(backend) = self.servers.borrow().get(id) {
             backend.missing.set(true);
@@ -355,27 +367,27 @@
         self.servers.borrow().keys().cloned().collect()
     }
 
-    /// Records that another server answers at a server's address: this life of
-    /// it is over, whatever its entry says, and each further request there
-    /// would be lost time and a retry.
+    /// Records that another server answers at a server's address. This ends the
+    /// incarnation, whatever its entry says: each further request there would cost time
+    /// and a retry.
     pub fn mark_replaced(&self, id: &ids::Server) {
         if let Some(backend) = self.get(id) {
             backend.end();
-            self.regroup(&backend.server.service);
+            self.invalidate_group(&backend.server.service);
         }
     }
 
     /// Drops a server and returns it, if it was known.
     pub fn remove(&self, id: &ids::Server) -> Option<Rc<Backend>> {
         let backend = self.servers.borrow_mut().remove(id)?;
-        self.forget_address(&backend.server);
+        self.remove_address(&backend.server);
         backend.end();
-        self.parted.keep(&backend);
-        self.regroup(&backend.server.service);
+        self.departed.keep(&backend);
+        self.invalidate_group(&backend.server.service);
         Some(backend)
     }
 
-    fn forget_address(&self, server: &Server) {
+    fn remove_address(&self, server: &Server) {
         let mut addresses = self.addresses.borrow_mut();
         if let Some(there) = addresses.get_mut(&server.address) {
             there.retain(|id| *id != server.id);
@@ -385,7 +397,8 @@
         }
     }
 
-    /// Other servers whose entries name the same address: one of all is there.
+    /// Other servers whose entries name the same address. At most one server listens
+    /// there.
     pub fn sharing_address(&self, id: &ids::Server) -> Vec<ids::Server> {
         let servers = self.servers.borrow();
         let address = servers.get(id).map(|backend| backend.server.address);
@@ -395,12 +408,12 @@
         others.cloned().collect()
     }
 
-    /// A server that is known, also one that is leaving.
+    /// A known server, including one that is leaving.
     pub fn get(&self, id: &ids::Server) -> Option<Rc<Backend>> {
         self.servers.borrow().get(id).cloned()
     }
 
-    /// The servers of a service, also those that are leaving.
+    /// The servers of a service, including those that are leaving.
     pub fn known(&self, service: &ids::Service) -> Vec<Rc<Backend>> {
         let servers = self.servers.borrow();
         let known = servers.values();
@@ -408,7 +421,7 @@
         known.cloned().collect()
     }
 
-    /// Requests of this box under way, by server.
+    /// Requests of this box in flight, by server.
     pub fn running(&self) -> HashMap<Key, u32> {
         let servers = self.servers.borrow();
         let busy = servers.values().filter(|backend| backend.in_flight() > 0);
@@ -416,7 +429,7 @@
             .collect()
     }
 
-    /// Records what so many other boxes have under way at all servers.
+    /// Records how many requests `boxes` other boxes have in flight at each server.
     pub fn set_peer_in_flight(&self, requests: &HashMap<Key, u32>, boxes: u32, now: Instant) {
         for backend in self.servers.borrow().values() {
             let requests = requests.get(&backend.key).copied().unwrap_or(0);
@@ -424,7 +437,8 @@
         }
     }
 
-    /// The servers of a service that take new requests.
+    /// The servers of a service that accept new requests. Servers that are backing off
+    /// are included.
     pub fn serving(&self, service: &ids::Service) -> Rc<[Rc<Backend>]> {
         self.group(service).serving
     }
@@ -435,13 +449,13 @@
         self.group(service).emptied
     }
 
-    /// How many servers of a service rest.
+    /// Number of servers of a service that are backing off.
     pub fn backing_off(&self, service: &ids::Service, now: Instant) -> usize {
         let serving = self.serving(service);
         serving.iter().filter(|it| it.is_backing_off(now)).count()
     }
 
-    /// How many servers of a service say that they leave.
+    /// Number of servers of a service that are leaving.
     pub fn leaving(&self, service: &ids::Service) -> usize {
         self.group(service).leaving
     }
@@ -449,14 +463,14 @@
     fn group(&self, service: &ids::Service) -> Group {
         let known = self.services.borrow().get(service).cloned();
         known.unwrap_or_else(|| {
-            let group = self.regrouped(service);
+            let group = self.build_group(service);
             let mut services = self.services.borrow_mut();
             services.insert(service.clone(), group.clone());
             group
         })
     }
 
-    /// Servers that are known.
+    /// Number of known servers.
     pub fn len(&self) -> usize {
         self.servers.borrow().len()
     }
@@ -466,19 +480,19 @@
         self.servers.borrow().is_empty()
     }
 
-    /// Has a service's servers put together again when they are next needed:
-    /// once for a whole list of servers, and not once for each of them.
-    fn regroup(&self, service: &ids::Service) {
+    /// Drops the cached lists of a service, so that they are built again when next
+    /// needed: once for a whole list of servers instead of once for each of them.
+    fn invalidate_group(&self, service: &ids::Service) {
         self.services.borrow_mut().remove(service);
     }
 
-    fn regrouped(&self, service: &ids::Service) -> Group {
+    fn build_group(&self, service: &ids::Service) -> Group {
         let mut all = self.known(service);
         all.sort_by(|a, b| a.server.id.cmp(&b.server.id));
         let (mut serving, mut emptied, mut leaving) = (Vec::new(), Vec::new(), 0);
         for backend in all {
-            match backend.standing() {
-                // One that rests serves others.
+            match backend.check_serving() {
+                // A back-off concerns one box; the server serves other boxes.
                 Ok(()) | Err(Ineligible::BackingOff) => serving.push(backend),
                 Err(Ineligible::Emptied) => emptied.push(backend),
                 Err(Ineligible::Leaving) => leaving += 1,
@@ -493,12 +507,12 @@
     }
 }
 
-/// The rest that is over first, if all of these servers rest.
+/// The back-off that ends first, if all of these servers are backing off.
 pub fn earliest_backoff<'a>(
     servers: impl IntoIterator<Item = &'a Rc<Backend>>,
     now: Instant,
 ) -> Option<Backoff> {
-    let rests = servers.into_iter().map(|it| it.rest(now));
-    let rests: Option<Vec<Backoff>> = rests.collect();
-    rests?.into_iter().min_by_key(|rest| rest.until)
+    let backoffs = servers.into_iter().map(|it| it.backoff(now));
+    let backoffs: Option<Vec<Backoff>> = backoffs.collect();
+    backoffs?.into_iter().min_by_key(|backoff| backoff.until)
 }
--- a/crates/relay/src/fleet/permit.rs
+++ b/crates/relay/src/fleet/permit.rs
@@ -1,4 +1,4 @@
-//! The question that everything asks that sends to a server.
+//! The check that precedes everything that is sent to a server.
 
 use std::rc::Rc;
 
@@ -7,13 +7,14 @@
 use super::advertisement::Ineligible;
 use super::backend::Backend;
 
-/// That a server takes something new. There is none without having asked, and what
-/// sends takes one.
+/// Proof that a server was found to accept new requests.
+/// [`Fleet::permit`](super::Fleet::permit) alone creates one, after that check, and
+/// sending requires one.
 pub struct Permit(Rc<Backend>);
 
 impl Permit {
     pub(super) fn new(backend: &Rc<Backend>, now: Instant) -> Result<Self, Ineligible> {
-        backend.takes(now)?;
+        backend.check_eligible(now)?;
         Ok(Self(backend.clone()))
     }
 
@@ -22,12 +23,12 @@
         &self.0
     }
 
-    /// Asks again: what is about to be sent may have waited.
+    /// Repeats the check: the request may have waited since the first one.
     ///
     /// # Errors
     ///
-    /// The server takes nothing new any more.
+    /// Returns the reason if the server no longer accepts new requests.
     pub fn renewed(&self, now: Instant) -> Result<(), Ineligible> {
-        self.0.takes(now)
+        self.0.check_eligible(now)
     }
 }
--- a/crates/relay/src/fleet/watch.rs
+++ b/crates/relay/src/fleet/watch.rs
@@ -1,4 +1,4 @@
-//! What an operator sees of servers that leave and rest, and the end of rests.
+//! Metrics of servers that are leaving or backing off, and the end of back-offs.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -9,16 +9,17 @@
 
 use super::Fleet;
 
-/// Time between two looks: short against the rests that servers ask for, seconds.
-const LOOK_TIME: Duration = Duration::from_millis(500);
+/// Interval between two checks, short against the back-offs that servers request, which
+/// are seconds.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Tells by metrics how many servers leave and rest, and by the log when a
-/// rest is over; does not end.
+/// Sets the gauges of servers that are leaving and backing off, and logs each back-off
+/// that has ended; does not return.
 pub(crate) async fn run(fleet: Rc<Fleet>) -> Infallible {
     loop {
-        Timer::after(LOOK_TIME).await;
+        Timer::after(CHECK_INTERVAL).await;
         let now = Instant::now();
-        for id in fleet.rested(now) {
+        for id in fleet.expire_backoffs(now) {
             log::info!(target: "belief", "event=rest_over server={id} why=time");
         }
         let (leaving, resting) = fleet.withheld(now);
--- a/crates/relay/src/health.rs
+++ b/crates/relay/src/health.rs
@@ -1,95 +1,100 @@
-//! What this box has seen of one server's health.
+//! One server's health as observed by this box.
 //!
-//! Only requests count: a health check may be wrong either way, for all callers
-//! or for some. A server that fails several requests in a row is left out for a
-//! while, then tried with one request.
+//! Only requests count: a health check may give the wrong result, for all clients or for
+//! some. A server that fails several requests in a row is ejected for a while, then
+//! probed with one request.
 //!
-//! What requests show fades with time. A server that is avoided for it gets none that
-//! could show anything else: without that, three of four boxes sent all streams to one of
-//! three servers for as long as they were watched, ten seconds after the others failed.
+//! Observations decay with time. A server that is avoided because of them gets no
+//! request that could show that it has recovered. Without the decay, three of four boxes
+//! sent all streams to one of three servers for as long as they were observed, which was
+//! ten seconds after the failures of the other two had ended.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use tidepier_clock::Instant;
 
-/// Failures in a row after which a server is left out.
+/// Weighted failures in a row after which a server is ejected.
 const FAILURES_MAX: u32 = 3;
-/// First time that a server is left out; doubled each further time.
-const REST_MIN: Duration = Duration::from_millis(800);
-/// Longest time that a server is left out.
-const REST_MAX: Duration = Duration::from_secs(6);
-/// Time after which a request to a server that was left out counts as having
-/// brought no result, such as when its client left.
-const PROBE_TIME: Duration = Duration::from_secs(2);
+/// Duration of the first ejection; doubled with each further one.
+const EJECTION_MIN: Duration = Duration::from_millis(800);
+/// Longest ejection.
+const EJECTION_MAX: Duration = Duration::from_secs(6);
+/// Time after which a probe counts as without result, as when its client left, so that
+/// another one may be sent.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Weight of the newest result in the failure rate.
 const RATE_WEIGHT: f64 = 0.15;
-/// Time in which the share of failures halves while no request shows anything: what
-/// fails for a part of requests does so for some seconds.
-const RATE_HALVES: Duration = Duration::from_secs(3);
-/// The same for the time to an answer beyond the usual one: a slow server is found out
-/// about anew by one request of a box in some half a minute.
-const TIME_HALVES: Duration = Duration::from_secs(8);
-/// The same for requests that were turned away: a place comes free when one ends.
-const TURNED_HALVES: Duration = Duration::from_millis(500);
-/// Most refusals in a row that count.
-const TURNED_MAX: f64 = 8.0;
-/// Age of the newest time after which times no longer count.
-const TIMED_WITHIN: Duration = Duration::from_secs(4);
-/// Weight of the newest time in the mean time to an answer.
-const TIME_WEIGHT: f64 = 0.2;
-
-/// How one request at a server ended, as far as its health goes.
+/// Half-life of the failure rate while no request is recorded. A fault that makes only a
+/// part of the requests fail lasts for some seconds.
+const RATE_HALF_LIFE: Duration = Duration::from_secs(3);
+/// Half-life of a server's excess latency over the usual one. With it, each box sends a
+/// slow server one request in about half a minute, which measures its latency anew.
+const LATENCY_HALF_LIFE: Duration = Duration::from_secs(8);
+/// Half-life of the count of rejected requests. A server has room again as soon as one
+/// of its requests ends.
+const REJECTIONS_HALF_LIFE: Duration = Duration::from_millis(500);
+/// Most rejections in a row that count.
+const REJECTIONS_MAX: f64 = 8.0;
+/// Age of the newest latency sample from which latencies no longer count as recent.
+const RECENT_MAX: Duration = Duration::from_secs(4);
+/// Weight of the newest sample in the mean latency.
+const LATENCY_WEIGHT: f64 = 0.2;
+
+/// How one request to a server ended, as far as its health is concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Whole answer, or a refusal that is no failure.
+    /// A complete answer, or a rejection that is no failure.
     Succeeded,
-    /// An error, a broken or spoiled answer.
+    /// An error, or an answer that was cut off or corrupt.
     Errored,
-    /// Nobody is there: the connection was refused, or another server has the
-    /// address.
+    /// No such server is listening: the connection was refused, or another server has
+    /// the address.
     NotListening,
-    /// Silence, on one connection or while opening it.
+    /// No data came in time, on an open connection or while opening one.
     Unresponsive,
 }
 
-/// A figure that was set at one moment and fades from then on.
+/// A value that is set at one time and decays from then on.
 #[derive(Debug, Default)]
-struct Fading(Cell<Option<(f64, Instant)>>);
+struct Decaying(Cell<Option<(f64, Instant)>>);
 
-impl Fading {
+impl Decaying {
     fn set(&self, value: f64, now: Instant) {
         self.0.set(Some((value, now)));
     }
 
-    /// What is left of it; it halves in each time of `halves`.
-    fn left(&self, halves: Duration, now: Instant) -> f64 {
+    /// The remaining value at `now`, with the half-life `halves`.
+    fn value_at(&self, half_life: Duration, now: Instant) -> f64 {
         let set = self.0.get();
-        set.map_or(0.0, |(value, at)| value * part_left(at, halves, now))
+        set.map_or(0.0, |(value, at)| value * fraction_left(at, half_life, now))
     }
 }
 
-/// The part that is left of what was so at `at` and halves in each time of `halves`.
-fn part_left(at: Instant, halves: Duration, now: Instant) -> f64 {
+/// The fraction that is left at `now` of a value that was set at `at` and has the
+/// half-life `halves`.
+fn fraction_left(at: Instant, half_life: Duration, now: Instant) -> f64 {
     let age = now.saturating_duration_since(at).as_secs_f64();
-    0.5f64.powf(age / halves.as_secs_f64())
+    0.5f64.powf(age / half_life.as_secs_f64())
 }
 
-/// A server's record.
+/// The observations about one server.
 #[derive(Debug, Default)]
 pub struct Health {
-    in_row: Cell<u32>,
-    rests: Cell<u32>,
-    out_until: Cell<Option<Instant>>,
-    /// When a request was last sent to it after it was left out.
+    failures_in_row: Cell<u32>,
+    ejections: Cell<u32>,
+    ejected_until: Cell<Option<Instant>>,
+    /// When the last probe was sent since the server was ejected.
     probed: Cell<Option<Instant>>,
-    failure_rate: Fading,
-    /// Requests that it turned away since it took one.
-    turned: Fading,
-    /// Mean time to an answer in ms.
+    failure_rate: Decaying,
+    /// Decaying count of requests that the server has rejected since it last accepted
+    /// one.
+    rejections: Decaying,
+    /// Mean latency in ms: the time to the start of an answer, without that of reading
+    /// the prompt.
     mean_latency_ms: Cell<Option<f64>>,
-    /// When an answer last began.
-    timed: Cell<Option<Instant>>,
+    /// When an answer last started.
+    last_measured: Cell<Option<Instant>>,
 }
 
 impl Health {
@@ -102,90 +107,95 @@
         let rate = rate + RATE_WEIGHT * (sample - rate);
         self.failure_rate.set(rate, now);
         if !failed {
-            self.in_row.set(0);
-            self.rests.set(0);
-            self.out_until.set(None);
+            self.failures_in_row.set(0);
+            self.ejections.set(0);
+            self.ejected_until.set(None);
             return;
         }
         let weight = match outcome {
             Outcome::NotListening | Outcome::Unresponsive => 2,
             Outcome::Succeeded | Outcome::Errored => 1,
         };
-        self.in_row.set(self.in_row.get() + weight);
-        if self.in_row.get() >= FAILURES_MAX {
-            let rest = REST_MIN * 2u32.pow(self.rests.get().min(4));
-            self.out_until.set(Some(now + rest.min(REST_MAX)));
-            self.rests.set(self.rests.get() + 1);
+        self.failures_in_row
+            .set(self.failures_in_row.get() + weight);
+        if self.failures_in_row.get() >= FAILURES_MAX {
+            let ejection = EJECTION_MIN * 2u32.pow(self.ejections.get().min(4));
+            self.ejected_until
+                .set(Some(now + ejection.min(EJECTION_MAX)));
+            self.ejections.set(self.ejections.get() + 1);
         }
     }
 
-    /// Records the time to an answer, without that of reading a prompt.
+    /// Records the time to the start of an answer, without that of reading the prompt.
     pub fn record_latency(&self, time: Duration, now: Instant) {
-        self.turned.set(0.0, now);
+        self.rejections.set(0.0, now);
         let sample = time.as_secs_f64() * 1e3;
         let mean = self.mean_latency_ms.get().unwrap_or(sample);
         self.mean_latency_ms
-            .set(Some(mean + TIME_WEIGHT * (sample - mean)));
-        self.timed.set(Some(now));
+            .set(Some(mean + LATENCY_WEIGHT * (sample - mean)));
+        self.last_measured.set(Some(now));
     }
 
-    /// Records that it turned a request away.
+    /// Records that the server rejected a request.
     pub fn record_rejection(&self, now: Instant) {
-        let turned = self.recent_rejections(now) + 1.0;
-        self.turned.set(turned.min(TURNED_MAX), now);
+        let rejections = self.recent_rejections(now) + 1.0;
+        self.rejections.set(rejections.min(REJECTIONS_MAX), now);
     }
 
-    /// Requests that it turned away lately and since it took one.
+    /// Decaying count of requests that the server has rejected since it last accepted
+    /// one.
     pub fn recent_rejections(&self, now: Instant) -> f64 {
-        self.turned.left(TURNED_HALVES, now)
+        self.rejections.value_at(REJECTIONS_HALF_LIFE, now)
     }
 
-    /// Mean time to an answer in ms, once one is known.
+    /// Mean latency in ms, once it has been measured.
     pub fn mean_latency_ms(&self) -> Option<f64> {
         self.mean_latency_ms.get()
     }
 
-    /// Time to an answer in ms that is to be reckoned with, given the usual one.
+    /// Latency in ms to expect: the mean latency, which decays towards `usual_ms`, the
+    /// usual one of all servers.
     pub fn expected_latency_ms(&self, usual_ms: f64, now: Instant) -> f64 {
-        let known = self.mean_latency_ms.get().zip(self.timed.get());
+        let known = self.mean_latency_ms.get().zip(self.last_measured.get());
         known.map_or(usual_ms, |(time, at)| {
-            usual_ms + (time - usual_ms) * part_left(at, TIME_HALVES, now)
+            usual_ms + (time - usual_ms) * fraction_left(at, LATENCY_HALF_LIFE, now)
         })
     }
 
-    /// Mean time to an answer in ms, if an answer began lately: a server that is avoided for being
-    /// slow is tried again after a while.
+    /// Mean latency in ms, if an answer started recently. A server that is avoided
+    /// because it is slow is therefore tried again after a while.
     pub fn recent_latency_ms(&self, now: Instant) -> Option<f64> {
-        let timed = self.timed.get()?;
-        let recent = now.duration_since(timed) < TIMED_WITHIN;
+        let last_measured = self.last_measured.get()?;
+        let recent = now.duration_since(last_measured) < RECENT_MAX;
         self.mean_latency_ms.get().filter(|_| recent)
     }
 
-    /// Share of recent requests that failed.
+    /// Fraction of recent requests that failed.
     pub fn failure_rate(&self, now: Instant) -> f64 {
-        self.failure_rate.left(RATE_HALVES, now)
+        self.failure_rate.value_at(RATE_HALF_LIFE, now)
     }
 
-    /// Whether the last request there did not fail.
+    /// Whether the last request did not fail.
     pub fn last_succeeded(&self) -> bool {
-        self.in_row.get() == 0
+        self.failures_in_row.get() == 0
     }
 
-    /// Whether it may get a request now.
+    /// Whether the server may get a request now: it is not ejected, or a probe is due.
     pub fn allows(&self, now: Instant) -> bool {
-        match self.out_until.get() {
+        match self.ejected_until.get() {
             None => true,
             Some(until) if now < until => false,
             Some(_) => {
                 let probed = self.probed.get();
-                probed.is_none_or(|at| now.duration_since(at) > PROBE_TIME)
+                probed.is_none_or(|at| now.duration_since(at) > PROBE_TIMEOUT)
             }
         }
     }
 
-    /// Records that a request was sent.
+    /// Records that a request was sent; if the server was ejected, the request is its
+    /// probe.
     pub fn sent(&self, now: Instant) {
-        if self.out_until.get().is_some() {
+        if self.ejected_until.get().is_some() {
             self.probed.set(Some(now));
         }
     }
--- a/crates/relay/tests/relay/resting.rs
+++ b/crates/relay/tests/relay/resting.rs
@@ -1,11 +1,12 @@
-//! Servers that ask for rest when they turn a request away.
+//! Servers that request a back-off when they reject a request.
 //!
-//! Seen: a server asked a box for three seconds of rest and got ten requests of it in
-//! that time, each of them turned away, while most servers of its service had room;
-//! over a tenth of the callers were not served. Cause: the time asked for was decoded
-//! and nothing read it, so that each request was placed as though the server had said
-//! nothing. Proved by the logs of the boxes, where eight of ten were first tries of
-//! eight requests, placed at the same cost as before, and by the first test here.
+//! Guards against the following failure: a server requested a back-off of three seconds
+//! and got ten requests of the box in that time, each of which it rejected, while most
+//! servers of its service had room; over a tenth of the clients were not served. The
+//! cause was that the requested time was decoded and nothing read it, so that each
+//! request was placed as if the server had requested nothing. The logs of the boxes show
+//! this: eight of the ten were first attempts of eight requests, placed at the same cost
+//! as before. The first test here reproduces it.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -16,7 +17,7 @@
 use tidepier_core::answer::Answer;
 use tidepier_core::catalog::Cold;
 use tidepier_core::server::StartTime;
-use tidepier_relay::fleet::{Backend, Said};
+use tidepier_relay::fleet::{Backend, Update};
 use tidepier_relay::settings::Settings;
 use tidepier_relay_standin::names;
 use tidepier_relay_standin::server::{self, Fault, Run, Server};
@@ -28,9 +29,10 @@
 };
 use crate::sim::{Plan, Sim};
 
-/// Time after the first word from which the server gets no more than [`BORNE`].
+/// Time after the first rejection from which the server gets no more than [`LATE_MAX`]
+/// requests.
 const HEARD_TIME: Duration = Duration::from_millis(500);
-/// Requests that may come in the time that a server asked for.
+/// Requests that may reach a server during the back-off that it requested.
 const BORNE: usize = 2;
 
 /// A usual server in the hall of the router, beside the first one.
@@ -41,7 +43,8 @@
     }
 }
 
-/// Sends requests of all kinds in turn for so long, and counts those that were served.
+/// Sends requests of all kinds in turn for `time`. Returns how many were sent and how
+/// many were served.
 pub(crate) async fn ask(house: &Harness, name: &str, time: Duration) -> Result<(usize, usize)> {
     let start = Instant::now();
     let (mut sent, mut served) = (0, 0);
@@ -55,7 +58,7 @@
     Ok((sent, served))
 }
 
-/// Requests that reached a server between two times after it first turned one away.
+/// Requests that reached a server between two times after its first rejection.
 pub(crate) fn reached(server: &Server, from: Duration, to: Duration) -> usize {
     let runs = server.runs();
     let Some(first) = runs.iter().find(|run| !run.ran()).map(|run| run.arrived) else {
@@ -78,16 +81,21 @@
             "the case did not arise"
         );
         let late = reached(&near, HEARD_TIME, ms(2_500));
-        ensure!(late <= BORNE, "{late} requests for a server that rests");
-        // The other one has room for all, but for the one that the first turned away.
+        ensure!(
+            late <= BORNE,
+            "{late} requests to a server that is backing off"
+        );
+        // The other server has room for all requests but the one that the first server
+        // rejected.
         ensure!(served + 1 >= sent, "{served} of {sent} served");
-        ensure!(!far.runs().is_empty(), "the other one got none");
+        ensure!(!far.runs().is_empty(), "the other server got none");
         Ok(())
     })
 }
 
-/// Two servers in the box's hall turn all away and ask for rest, an idle one is
-/// elsewhere. Only what was under way before the word is refused.
+/// Two servers in the box's hall reject all requests and request a back-off; an idle
+/// server is elsewhere. Only requests that were in flight before the rejections are
+/// refused.
 #[test]
 fn an_idle_server_elsewhere_serves_meanwhile() -> Result {
     run(async |executor| {
@@ -101,13 +109,17 @@
         }
         let (sent, served) = ask(&house, "asked", ms(1_800)).await?;
         ensure!(served + 2 >= sent, "{served} of {sent} served");
-        ensure!(far.runs().len() >= served, "served by those that rest");
+        ensure!(
+            far.runs().len() >= served,
+            "served by servers that are backing off"
+        );
         Ok(())
     })
 }
 
-/// All servers rest: what comes is refused at once, truly, with the time that is left;
-/// nothing reaches them, and after that time requests are served again.
+/// All servers are backing off. New requests are refused at once, with a true promise
+/// that they were not run and with the time that is left. None reaches a server, and
+/// after that time requests are served again.
 #[test]
 fn what_cannot_be_placed_is_refused_at_once() -> Result {
     run(async |executor| {
@@ -116,7 +128,7 @@
             server.ask_rest(Some("1.5"));
             server.fault(Fault::Shed, 1);
         }
-        // The route allows two servers.
+        // The route allows attempts at two servers.
         ensure_not_executed(&house.post("/r/x", "word").await?)?;
         let told = Instant::now();
         for number in 0..20 {
@@ -129,7 +141,10 @@
             Timer::after(ms(50)).await;
         }
         let reached = near.runs().len() + far.runs().len();
-        ensure!(reached == 2, "{reached} reached servers that rest");
+        ensure!(
+            reached == 2,
+            "{reached} reached servers that are backing off"
+        );
         wait_until("served", async || {
             Ok(house.post("/r/x", "back").await?.status == 200)
         })
@@ -140,7 +155,8 @@
     })
 }
 
-/// No stream goes on at a server that rests, and no first try of a stream goes there.
+/// No stream is resumed at a server that is backing off, and no first attempt of a
+/// stream is sent there.
 #[test]
 fn no_stream_goes_to_a_server_that_rests() -> Result {
     run(async |executor| {
@@ -165,12 +181,13 @@
         }
         let late = rests.runs();
         let late = late.iter().filter(|run| run.arrived > told).count();
-        ensure!(late == 0, "{late} streams for a server that rests");
+        ensure!(late == 0, "{late} streams at a server that is backing off");
         Ok(())
     })
 }
 
-/// What the operator sees and does about a server that asks for an hour by mistake.
+/// What the operator sees of a server that requests a back-off of an hour by mistake,
+/// and how the operator cancels it.
 #[test]
 fn an_operator_takes_an_hour_back() -> Result {
     run(async |executor| {
@@ -186,11 +203,14 @@
         .await?;
         far.fault(Fault::Shed, u32::MAX);
         ask(&house, "resting", ms(300)).await?;
-        ensure!(near.runs().len() == 1, "sent to a server that rests");
+        ensure!(
+            near.runs().len() == 1,
+            "sent to a server that is backing off"
+        );
         let fleet = &house.router.relay().fleet;
         ensure!(
             fleet.withheld(tidepier_clock::Instant::now()) == (0, 1),
-            "not seen"
+            "not counted as backing off"
         );
         let woken = |servers: &[&str]| -> Result<Settings> {
             let mut told = harness::settings(&house.site);
@@ -200,12 +220,12 @@
         house.router.apply_settings(&woken(&["i-9", "i-1"])?);
         let answer = house.post("/r/x", "back").await?;
         ensure_served_by(&answer, &[&near], "back")?;
-        ensure!(woken(&["no id!"]).is_err(), "any text is an id");
+        ensure!(woken(&["no id!"]).is_err(), "an invalid id was accepted");
         Ok(())
     })
 }
 
-/// What one box knows of a server, and how an answer of the server changes that.
+/// What one box knows of a server, and how answers of the server change that.
 struct Ear {
     desk: ChoiceHarness,
     server: Rc<Backend>,
@@ -224,9 +244,9 @@
         })
     }
 
-    /// It is turned away `at` a time, and asked for so many ms of rest; returns what is
-    /// news.
-    fn turned(&self, at: u64, rest: u64) -> Said {
+    /// Applies a rejection at `at` ms that requests a back-off of `backoff` ms. Returns
+    /// what is new.
+    fn turned(&self, at: u64, rest: u64) -> Update {
         let answer = Answer {
             status: 503,
             not_run: true,
@@ -243,18 +263,22 @@
     }
 }
 
-/// Several words: the one that ends last holds, in whichever order they come.
+/// Of several requested back-offs the one that ends last applies, in whichever order
+/// they arrive.
 #[test]
 fn the_longest_of_several_words_holds() -> Result {
     let ear = Ear::new()?;
-    ensure!(ear.turned(0, 3_000).rest.is_some(), "no news");
     ensure!(
-        ear.turned(100, 500).rest.is_none(),
-        "a shorter one is no news"
+        ear.turned(0, 3_000).backoff.is_some(),
+        "the first back-off is not new"
     );
-    ensure!(ear.rests(2_999), "a shorter word took it back");
+    ensure!(
+        ear.turned(100, 500).backoff.is_none(),
+        "a shorter one was reported as new"
+    );
+    ensure!(ear.rests(2_999), "a shorter back-off replaced it");
     ear.turned(200, 5_000);
-    ensure!(ear.rests(5_199), "a longer word did not count");
+    ensure!(ear.rests(5_199), "a longer back-off was not applied");
     let success = Answer {
         status: 200,
         ..Answer::default()
@@ -262,12 +286,15 @@
     ear.desk
         .fleet
         .apply_answer(&ear.server, &success, ear.start + ms(300));
-    ensure!(ear.rests(5_199), "the end of an older request took it back");
-    ensure!(!ear.rests(5_200), "longer than asked for");
+    ensure!(
+        ear.rests(5_199),
+        "the answer to an older request cancelled it"
+    );
+    ensure!(!ear.rests(5_200), "longer than requested");
     Ok(())
 }
 
-/// It ends with the life of the server, not with its entry.
+/// A back-off ends with the incarnation of the server, not when its entry is removed.
 #[test]
 fn it_outlives_the_entry_and_not_the_life() -> Result {
     let ear = Ear::new()?;
@@ -279,12 +306,12 @@
     let back = ear.desk.backend(&server.id)?;
     ensure!(
         back.is_backing_off(ear.start + ms(1_000)),
-        "the entry's return ended it"
+        "the entry's return cancelled it"
     );
     fleet.announce(server.clone(), ear.start + ms(200));
     ensure!(
         back.is_backing_off(ear.start + ms(1_000)),
-        "an entry ended it"
+        "an entry cancelled it"
     );
     let born = |birth| tidepier_core::server::Server {
         born: Some(StartTime(birth)),
@@ -295,17 +322,20 @@
     let new = ear.desk.backend(&server.id)?;
     ensure!(
         !new.is_backing_off(ear.start + ms(1_000)),
-        "a new life rests"
+        "a new incarnation is backing off"
     );
     Ok(())
 }
 
-/// It is that box's own, and it is no failure.
+/// A back-off concerns only the box that it was requested of, and it is no failure.
 #[test]
 fn it_is_one_boxs_own_and_no_failure() -> Result {
     let (ear, other) = (Ear::new()?, Ear::new()?);
     ear.turned(0, 3_000);
-    ensure!(ear.rests(10) && !other.rests(10), "of another box too");
+    ensure!(
+        ear.rests(10) && !other.rests(10),
+        "another box backs off too"
+    );
     ensure!(ear.server.health.last_succeeded(), "counted as a failure");
     ensure!(
         ear.server.health.failure_rate(Moment::now()) == 0.0,
@@ -314,7 +344,7 @@
     Ok(())
 }
 
-/// A subject goes back to the server that keeps it.
+/// A subject returns to the server that has it cached.
 #[test]
 fn a_subject_comes_back_after_the_rest() -> Result {
     let desk = ChoiceHarness::new("hall-1", 1..=6)?;
@@ -328,15 +358,18 @@
     };
     desk.fleet.apply_answer(&keeper, &turned, Moment::now());
     let meanwhile = desk.choose(Some(&prompt), &[])?;
-    ensure!(meanwhile.backend.key != keeper.key, "sent while it rests");
+    ensure!(
+        meanwhile.backend.key != keeper.key,
+        "sent during the back-off"
+    );
     std::thread::sleep(ms(90));
     let after = desk.choose(Some(&prompt), &[])?;
     ensure!(after.backend.key == keeper.key, "moved away for good");
     Ok(())
 }
 
-/// Boxes of three halls before thirty engines, 20 requests a second for each engine,
-/// or so many times that.
+/// Boxes of three halls before thirty engines, with 20 requests a second for each
+/// engine, multiplied by `times`.
 fn fleet(boxes: u16, times: f64) -> Plan {
     Plan {
         boxes: vec![boxes; 3],
@@ -353,9 +386,10 @@
     }
 }
 
-/// All engines turn all away for 1.5 s and ask for 2 s: what was refused comes back over
-/// a second, so that three times the usual comes in the mean of it. Without times that
-/// are apart, ten to twenty times the usual came within 100 ms.
+/// All engines reject all requests for 1.5 s and request a back-off of 2 s. The refused
+/// requests return over a second, so that the average rate is three times the usual one
+/// during it. Before retry delays were spread, ten to twenty times the usual number
+/// arrived within 100 ms.
 #[test]
 fn what_was_refused_does_not_come_back_at_once() -> Result {
     for (boxes, seed) in [(2, 1), (10, 2), (100, 3)] {
@@ -375,9 +409,10 @@
     Ok(())
 }
 
-/// A third of the engines turn all away for 0.4 s and ask for 2 s: in the seconds after,
-/// none of them gets more than twice what it has a second usually, in fleets of 6, 30 and
-/// 300 boxes; and callers find a place elsewhere meanwhile.
+/// A third of the engines reject all requests for 0.4 s and request a back-off of 2 s.
+/// In the seconds after, none of them gets more than twice its usual number of requests
+/// a second, in fleets of 6, 30 and 300 boxes, and meanwhile requests are placed
+/// elsewhere.
 #[test]
 fn boxes_do_not_all_come_back_at_once() -> Result {
     for (boxes, seed) in [(2, 1), (10, 2), (100, 3)] {
