--- a/crates/relay/src/crash/mod.rs
+++ b/crates/relay/src/crash/mod.rs
@@ -1,16 +1,16 @@
-//! Servers that end under the requests that they run, and requests that are refused
-//! for it.
+//! Requests that crash the servers that run them, and the refusal of such requests.
 //!
-//! A request may end each server that begins to run it, and its client sends it
-//! again, as a new attempt, to any box. Without a memory of its content each attempt
-//! costs a server, and each server the requests of the other callers there: in the
-//! incident that showed it 25 servers, and about 5 requests of others each.
+//! A request may crash each server that begins to run it, and its client sends it again,
+//! as a new attempt, to any box. Unless boxes remember its content, each attempt costs a
+//! server, and each server the requests of other clients that it was running: in the
+//! incident that led to this, 25 servers and about 5 requests of others each.
 //!
-//! * [`suspects`]: requests whose sending broke off, by server.
-//! * `inquiry`: finds out whether such a server ended.
-//! * [`table`]: which contents servers ended under; boxes tell each other.
+//! * [`suspects`]: requests whose connections broke, by server.
+//! * `probe`: finds out whether such a server has crashed.
+//! * [`table`]: the contents that servers crashed under, which boxes report to each
+//!   other.
 
-mod inquiry;
+mod probe;
 pub mod suspects;
 pub mod table;
 
@@ -26,44 +26,45 @@
 use suspects::Suspects;
 use table::{Change, Row, Table};
 
-pub(crate) use inquiry::run as probe_suspects;
+pub(crate) use probe::run as probe_suspects;
 
-/// Time between two looks at what is no longer needed.
-const LOOK_TIME: Duration = Duration::from_secs(5);
+/// Interval at which expired records are removed.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What one box knows of servers that ended under requests.
+/// What one box knows of servers that crashed under requests.
 #[derive(Default)]
 pub struct Crashes {
-    /// Requests that broke off at servers that may have ended.
+    /// Requests that broke off at servers that may have crashed.
     pub suspects: Suspects,
-    /// What this box and others saw.
+    /// The crashes that this box and others have observed.
     pub table: Table,
 }
 
 impl Crashes {
-    /// Records that a server ended under a content at `at`.
-    fn ended(&self, content: Fingerprint, server: Key, at: Instant) {
-        tell(self.table.ended(content, server, at));
+    /// Records that a server crashed at `at` while it ran a request with this content.
+    fn record_crash(&self, content: Fingerprint, server: Key, at: Instant) {
+        log_changes(self.table.record_crash(content, server, at));
     }
 
-    /// Records a whole success: such a request ends no server.
+    /// Records a complete successful answer: a request with this content does not crash
+    /// servers.
     pub(crate) fn answered(&self, content: Fingerprint) {
-        tell(self.table.answered(content, Instant::now()));
+        log_changes(self.table.answered(content, Instant::now()));
     }
 
-    /// Lets a content pass, by the operator's word.
+    /// Allows a content again at the operator's request.
     pub(crate) fn pardon(&self, content: Fingerprint) {
         log::info!(target: "request", "event=content_pardoned content={content}");
-        tell(self.table.clear(content, Instant::now()));
+        log_changes(self.table.clear(content, Instant::now()));
     }
 
-    /// Takes over what another box told.
+    /// Merges rows that another box reported.
     pub(crate) fn merge_rows(&self, rows: &[Row], now: Instant) {
-        tell(self.table.take(rows, now));
+        log_changes(self.table.merge(rows, now));
     }
 }
 
-fn tell(changes: impl IntoIterator<Item = Change>) {
+fn log_changes(changes: impl IntoIterator<Item = Change>) {
     for change in changes {
         match change {
             Change::Refused(content, ends, left) => log::warn!(
@@ -78,14 +79,14 @@
     }
 }
 
-/// Forgets what is no longer needed, and tells by metrics what is refused; does not
-/// end.
+/// Removes expired records and sets the gauges of suspected and refused contents; does
+/// not return.
 pub(crate) async fn run_expiry(crashes: Rc<Crashes>) -> Infallible {
     loop {
-        Timer::after(LOOK_TIME).await;
+        Timer::after(EXPIRY_INTERVAL).await;
         let now = Instant::now();
         let table = &crashes.table;
-        table.forget(now);
+        table.remove_expired(now);
         metrics::gauge!("tidepier_contents_refused").set(table.count_refused(now) as f64);
         metrics::gauge!("tidepier_contents_suspected").set(table.len() as f64);
     }
--- a/crates/relay/src/crash/probe.rs
+++ b/crates/relay/src/crash/probe.rs
@@ -1,9 +1,10 @@
-//! Finds out whether a server ended at which requests broke off.
+//! Finds out whether a server has crashed at which requests broke off.
 //!
-//! A connection may break for many reasons; that a machine answers that no process
-//! listens there has one. So a connection is opened: refused, it tells the end of the
-//! server. It comes up where the server lives, and rests for the next request.
-//! Silence tells nothing: the way there may be cut.
+//! A connection may break for many reasons, but a host answers that no process listens
+//! on a port for one reason only. So the box opens a new connection. If it is refused,
+//! the server has ended. If it is established, the server lives, and the connection is
+//! kept idle for the next request. If there is no response, nothing is known: the
+//! network in between may be partitioned.
 
 use std::collections::HashSet;
 use std::io;
@@ -20,61 +21,61 @@
 use crate::content::Fingerprint;
 use crate::fleet::Backend;
 
-/// Pauses before the looks at a server: a refusal comes with the first one, within a
-/// round trip, in nearly all cases.
-const LOOKS: [Duration; 3] = [
+/// Pauses before each attempt to connect. In nearly all cases a refusal comes with the
+/// first attempt, within a round trip.
+const PROBE_PAUSES: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(100),
     Duration::from_millis(300),
 ];
 /// How long a new connection has to stay open to show that the server lives: a process
-/// that ends may take one before its port closes.
-const STAYS_TIME: Duration = Duration::from_millis(50);
-/// Contents named in a log line.
-const NAMED: usize = 16;
+/// that is ending may still accept one before its port closes.
+const STAY_OPEN_TIME: Duration = Duration::from_millis(50);
+/// Most contents listed in a log line.
+const LOGGED_MAX: usize = 16;
 
-/// Looks at the servers at which requests broke off; does not end.
+/// Probes the servers at which requests broke off; does not return.
 pub(crate) async fn run(crashes: Rc<Crashes>, executor: Rc<LocalExecutor<'static>>) {
     loop {
-        for backend in crashes.suspects.fresh() {
+        for backend in crashes.suspects.take_unprobed() {
             let crashes = crashes.clone();
-            let look = async move {
-                let ended = has_ended(&backend).await;
+            let probe = async move {
+                let crashed = has_crashed(&backend).await;
                 let suspect = crashes.suspects.take(backend.key);
-                if let Some(suspect) = suspect.filter(|_| ended) {
-                    conclude(&crashes, &suspect);
+                if let Some(suspect) = suspect.filter(|_| crashed) {
+                    record_crash(&crashes, &suspect);
                 }
             };
-            executor.spawn(look).detach();
+            executor.spawn(probe).detach();
         }
         crashes.suspects.changed.wait().await;
     }
 }
 
-/// Records a server's end, under each content that broke off there.
-fn conclude(crashes: &Crashes, suspect: &Suspect) {
+/// Records a server's crash for each content whose request broke off there.
+fn record_crash(crashes: &Crashes, suspect: &Suspect) {
     let distinct: HashSet<Fingerprint> = suspect.contents.iter().copied().collect();
-    let named = distinct.iter().take(NAMED).map(Fingerprint::to_string);
+    let logged = distinct.iter().take(LOGGED_MAX).map(Fingerprint::to_string);
     log::info!(
         target: "request",
         "event=server_ended server={} requests={} contents={}",
         suspect.backend.server.id,
         suspect.contents.len(),
-        named.collect::<Vec<_>>().join(","),
+        logged.collect::<Vec<_>>().join(","),
     );
     metrics::counter!("tidepier_servers_ended_total").increment(1);
     for content in distinct {
-        crashes.ended(content, suspect.backend.key, suspect.since);
+        crashes.record_crash(content, suspect.backend.key, suspect.since);
     }
 }
 
 /// Whether no process listens at a server's address.
-async fn has_ended(backend: &Rc<Backend>) -> bool {
-    for pause in LOOKS {
+async fn has_crashed(backend: &Rc<Backend>) -> bool {
+    for pause in PROBE_PAUSES {
         Timer::after(pause).await;
         match attempt::open(backend, attempt::CONNECT_TIME).await {
             Ok(conn) => {
-                if let Some(conn) = stays(conn).await {
+                if let Some(conn) = stays_open(conn).await {
                     backend.keep(conn, None);
                     return false;
                 }
@@ -90,16 +91,16 @@
     false
 }
 
-/// A connection, if it stays open for a while.
-async fn stays(mut conn: Conn) -> Option<Conn> {
+/// Returns the connection if it stays open for a while.
+async fn stays_open(mut conn: Conn) -> Option<Conn> {
     let closed = async {
-        // Whatever comes here was not asked for.
+        // No data is expected here: any of it counts as the end of the connection.
         let _ = conn.fill().await;
         false
     };
-    let stayed = async {
-        Timer::after(STAYS_TIME).await;
+    let stayed_open = async {
+        Timer::after(STAY_OPEN_TIME).await;
         true
     };
-    closed.or(stayed).await.then_some(conn)
+    closed.or(stayed_open).await.then_some(conn)
 }
--- a/crates/relay/src/crash/suspects.rs
+++ b/crates/relay/src/crash/suspects.rs
@@ -1,5 +1,4 @@
-//! Requests of this box whose sending broke off, until it is known whether their
-//! server ended.
+//! Requests of this box that broke off, until it is known whether their server crashed.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -15,28 +14,28 @@
 pub struct Suspect {
     /// The server.
     pub backend: Rc<Backend>,
-    /// What was asked there; the same content once for each of its requests.
+    /// The contents of the requests, with one element for each request.
     pub contents: Vec<Fingerprint>,
     /// When the first one broke off.
     pub since: Instant,
 }
 
-/// The servers that are to be looked at.
+/// The servers that are to be probed.
 #[derive(Default)]
 pub struct Suspects {
-    open: RefCell<HashMap<Key, Suspect>>,
-    /// Those at which nobody looks yet.
-    fresh: RefCell<Vec<Rc<Backend>>>,
-    /// Notified when there is one.
+    by_server: RefCell<HashMap<Key, Suspect>>,
+    /// Suspects whose probe has not started.
+    unprobed: RefCell<Vec<Rc<Backend>>>,
+    /// Notified when such a suspect is added.
     pub changed: Notifier,
 }
 
 impl Suspects {
     /// Records that a request broke off at a server.
     pub fn add(&self, backend: &Rc<Backend>, content: Fingerprint) {
-        let mut open = self.open.borrow_mut();
-        let suspect = open.entry(backend.key).or_insert_with(|| {
-            self.fresh.borrow_mut().push(backend.clone());
+        let mut by_server = self.by_server.borrow_mut();
+        let suspect = by_server.entry(backend.key).or_insert_with(|| {
+            self.unprobed.borrow_mut().push(backend.clone());
             self.changed.notify();
             Suspect {
                 backend: backend.clone(),
@@ -47,14 +46,14 @@
         suspect.contents.push(content);
     }
 
-    /// Takes the servers at which nobody looks yet.
-    pub fn fresh(&self) -> Vec<Rc<Backend>> {
-        self.fresh.take()
+    /// Takes the suspects whose probe has not started.
+    pub fn take_unprobed(&self) -> Vec<Rc<Backend>> {
+        self.unprobed.take()
     }
 
-    /// Takes the requests that broke off at a server; from now on it is fresh again
-    /// when another one does.
+    /// Takes the requests that broke off at a server. The next one that breaks off there
+    /// starts another probe.
     pub fn take(&self, server: Key) -> Option<Suspect> {
-        self.open.borrow_mut().remove(&server)
+        self.by_server.borrow_mut().remove(&server)
     }
 }
--- a/crates/relay/src/crash/table.rs
+++ b/crates/relay/src/crash/table.rs
@@ -1,16 +1,18 @@
-//! Which contents servers ended under, and which of them are therefore refused.
+//! The contents that servers crashed under, and which of them are refused for that.
 //!
-//! Boxes tell each other what they saw; what they know is the union of it, in
-//! whatever order it comes and however often. A server's end under many requests
-//! blames none of them alone: a content is refused once three servers ended under it,
-//! which a bystander would have to meet by chance.
+//! Boxes report to each other what they observed. Each box knows the union of all
+//! reports, in whatever order they arrive and however often. A crash of a server that
+//! ran many requests blames none of them by itself: a content is refused once three
+//! servers have crashed under it, which would happen to an innocent request only by
+//! chance.
 //!
 //! Invariants:
 //!
-//! * A content is refused only while three ends or more are known, of which none is
-//!   older than a whole answer to it, or than the operator's word that it may pass.
-//! * What is held is bounded, whatever is asked: [`CONTENTS_MAX`] contents, each with
-//!   [`ENDS_MAX`] ends.
+//! * A content is refused only while at least three crashes are known that are later
+//!   than the last complete answer to it and than the operator's last request to allow
+//!   it.
+//! * Memory is bounded, whatever clients send: [`CONTENTS_MAX`] contents, each with
+//!   [`CRASHES_MAX`] crashes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -22,31 +24,33 @@
 use crate::content::Fingerprint;
 use crate::fleet::Key;
 
-/// Ends of servers under a content from which it is refused. With two, a bystander
-/// that was sent again and met a second crash would be.
-pub const ENDS_TO_REFUSE: usize = 3;
-/// Contents held, the worst case of which is 1 MB: 300 servers that end at once, with
-/// 14 requests each.
+/// Crashes under a content from which it is refused. With two, an innocent request would
+/// be refused that was retried and met a second crash.
+pub const CRASHES_TO_REFUSE: usize = 3;
+/// Most contents held, up to 1 MB of memory. Enough for 300 servers that crash at once
+/// with 14 requests each.
 pub const CONTENTS_MAX: usize = 4_096;
-/// Ends held of one content: each one above [`ENDS_TO_REFUSE`] doubles the time for
-/// which it is refused, up to [`REFUSED_MAX`].
-pub const ENDS_MAX: usize = 8;
-/// How long a content is refused after the last of three ends. A request that nobody
-/// mends costs a server each such time, then each twice as long; one that met three
-/// ends by chance passes again after it.
+/// Most crashes held for one content. Each one above [`CRASHES_TO_REFUSE`] doubles the time
+/// for which the content is refused, up to [`REFUSED_MAX`].
+pub const CRASHES_MAX: usize = 8;
+/// How long a content is refused after the last of three crashes. A request that nobody
+/// fixes costs one server per this time, then one per twice that time, and so on; a
+/// request that met three crashes by chance is allowed again after it.
 pub const REFUSED_MIN: Duration = Duration::from_secs(300);
-/// The longest such time.
+/// Longest time for which a content is refused.
 pub const REFUSED_MAX: Duration = Duration::from_secs(3_600);
-/// How long ends are remembered of a content that is not refused, and a whole answer
-/// or the operator's word: ends further apart are chance.
+/// How long crashes under a content that is not refused are kept, as well as complete
+/// answers and the operator's requests to allow a content. Crashes further apart than
+/// this are taken for chance.
 pub const RETENTION: Duration = Duration::from_secs(600);
-/// Two ends of one server within this time are one: boxes see it at moments that
-/// differ by the time of a message, and a server that ended is not back so soon.
-const SAME_END: Duration = Duration::from_millis(1_500);
+/// Two crashes of one server within this time are the same one: boxes observe a crash at
+/// times that differ by the delay of a message, and a server that crashed is not back so
+/// soon.
+const SAME_CRASH: Duration = Duration::from_millis(1_500);
 
-/// A server's end under a content.
+/// A server's crash while it ran a request with a content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct End {
+struct Crash {
     server: Key,
     at: Instant,
 }
@@ -54,75 +58,84 @@
 /// What is known of one content.
 #[derive(Debug, Default)]
 struct Entry {
-    /// In the order of their times.
-    ends: Vec<End>,
-    /// Until when all that was held against it is void.
+    /// Crashes in order of time.
+    crashes: Vec<Crash>,
+    /// Crashes up to this time no longer count.
     cleared: Option<Instant>,
-    /// When it last changed, in the count of all changes.
+    /// Sequence number of the last change to this entry, out of all changes to the
+    /// table.
     changed: u64,
 }
 
 impl Entry {
-    /// Adds an end; whether it was news.
-    fn add(&mut self, end: End) -> bool {
-        let void = self.cleared.is_some_and(|cleared| end.at <= cleared);
-        let known = self.ends.iter().any(|known| {
-            let apart = known.at.max(end.at) - known.at.min(end.at);
-            known.server == end.server && apart < SAME_END
+    /// Adds a crash. Returns whether that was new.
+    fn add(&mut self, crash: Crash) -> bool {
+        let is_cleared = self.cleared.is_some_and(|cleared| crash.at <= cleared);
+        let known = self.crashes.iter().any(|known| {
+            let apart = known.at.max(crash.at) - known.at.min(crash.at);
+            known.server == crash.server && apart < SAME_CRASH
         });
-        let full = self.ends.len() == ENDS_MAX;
-        let oldest = full && self.ends.first().is_some_and(|first| end.at <= first.at);
-        if void || known || oldest {
+        let full = self.crashes.len() == CRASHES_MAX;
+        let oldest = full
+            && self
+                .crashes
+                .first()
+                .is_some_and(|first| crash.at <= first.at);
+        if is_cleared || known || oldest {
             return false;
         }
         if full {
-            self.ends.remove(0);
+            self.crashes.remove(0);
         }
-        let at = self.ends.partition_point(|known| known.at <= end.at);
-        self.ends.insert(at, end);
+        let at = self.crashes.partition_point(|known| known.at <= crash.at);
+        self.crashes.insert(at, crash);
         true
     }
 
-    /// Voids what was held against it up to a moment; whether that was news.
+    /// Clears the crashes up to a time. Returns whether that was new.
     fn clear(&mut self, at: Instant) -> bool {
-        let news = self.cleared.is_none_or(|cleared| cleared + SAME_END < at);
-        if news {
+        let is_new = self.cleared.is_none_or(|cleared| cleared + SAME_CRASH < at);
+        if is_new {
             self.cleared = Some(at);
-            self.ends.retain(|end| end.at > at);
+            self.crashes.retain(|crash| crash.at > at);
         }
-        news
+        is_new
     }
 
-    /// Until when it is refused.
+    /// Until when the content is refused.
     fn refused_until(&self) -> Option<Instant> {
-        let beyond = self.ends.len().checked_sub(ENDS_TO_REFUSE)?;
+        let beyond = self.crashes.len().checked_sub(CRASHES_TO_REFUSE)?;
         let time = REFUSED_MIN * 2u32.pow(beyond as u32);
-        Some(self.ends.last()?.at + time.min(REFUSED_MAX))
+        Some(self.crashes.last()?.at + time.min(REFUSED_MAX))
     }
 
-    /// Until when it is held: a content that was refused stays known for as long
-    /// again, so that one end more is enough.
-    fn held_until(&self) -> Option<Instant> {
-        let last = self.ends.last().map(|end| end.at).max(self.cleared)?;
+    /// Until when the entry is kept. A content that was refused is kept for the same
+    /// time again, so that one more crash is enough to refuse it.
+    fn kept_until(&self) -> Option<Instant> {
+        let last = self
+            .crashes
+            .last()
+            .map(|crash| crash.at)
+            .max(self.cleared)?;
         let remembered = last + RETENTION;
         let until = self.refused_until().map(|until| until + (until - last));
         Some(until.map_or(remembered, |until| until.max(remembered)))
     }
 }
 
-/// What boxes tell each other of one content.
+/// What boxes report to each other about one content.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "RowParts", into = "RowParts")]
 pub struct Row {
     /// The content.
     pub content: Fingerprint,
-    /// Servers that ended under it, and how long ago.
+    /// Servers that crashed under it, and how long ago.
     pub ends: Vec<(Key, Duration)>,
-    /// How long ago what came before became void.
+    /// How long ago the crashes before that were cleared.
     pub cleared: Option<Duration>,
 }
 
-/// A row as it is sent: ages in ms.
+/// A row as it is sent, with ages in ms.
 type RowParts = (Fingerprint, Vec<(Key, u32)>, Option<u32>);
 
 impl From<RowParts> for Row {
@@ -144,53 +157,58 @@
     }
 }
 
-/// Which contents are told.
+/// Which contents are reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scope {
-    /// All, to one that puts together what several boxes saw.
+    /// All, for a receiver that combines what several boxes observed.
     All,
-    /// Those that two servers ended under, and those that became void.
+    /// Those with at least two crashes, and those that were cleared.
     Repeated,
 }
 
-/// A content whose standing changed.
+/// A change in whether a content is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// It is refused from now on, for so long; so many servers ended under it.
+    /// The content is refused from now on: number of crashes, and time for which it is
+    /// refused.
     Refused(Fingerprint, usize, Duration),
-    /// It is no longer refused.
+    /// The content is no longer refused.
     Cleared(Fingerprint),
 }
 
-/// What one box knows.
+/// The crashes that one box knows of.
 #[derive(Debug, Default)]
 pub struct Table {
     entries: RefCell<HashMap<Fingerprint, Entry>>,
-    /// Contents by when they last changed.
+    /// Contents by the sequence number of their last change.
     order: RefCell<BTreeMap<u64, Fingerprint>>,
     changes: Cell<u64>,
 }
 
 impl Table {
-    /// Records that a server ended under a content at `at`.
-    pub fn ended(&self, content: Fingerprint, server: Key, at: Instant) -> Option<Change> {
-        self.change(content, at, |entry| entry.add(End { server, at }))
+    /// Records that a server crashed at `at` under a content.
+    pub fn record_crash(&self, content: Fingerprint, server: Key, at: Instant) -> Option<Change> {
+        self.change(content, at, |entry| entry.add(Crash { server, at }))
     }
 
-    /// Voids what was held against a content up to `at`: it was answered whole, or
-    /// the operator lets it pass.
+    /// Clears the crashes under a content up to `at`: it was answered completely, or the
+    /// operator allows it.
     pub fn clear(&self, content: Fingerprint, at: Instant) -> Option<Change> {
         self.change(content, at, |entry| entry.clear(at))
     }
 
-    /// The same if anything is held against it.
+    /// Clears the crashes under a content if there are any: it was answered completely.
     pub fn answered(&self, content: Fingerprint, at: Instant) -> Option<Change> {
-        let held = self.entries.borrow().get(&content).map(|it| it.ends.len());
-        held.filter(|ends| *ends > 0)?;
+        let held = self
+            .entries
+            .borrow()
+            .get(&content)
+            .map(|it| it.crashes.len());
+        held.filter(|crashes| *crashes > 0)?;
         self.clear(content, at)
     }
 
-    /// How much longer a content is refused; `None`: it is not.
+    /// How much longer a content is refused; `None` if it is not.
     pub fn refused(&self, content: Fingerprint, now: Instant) -> Option<Duration> {
         let entries = self.entries.borrow();
         let until = entries.get(&content)?.refused_until()?;
@@ -199,46 +217,47 @@
             .filter(|left| !left.is_zero())
     }
 
-    /// How many contents are refused.
+    /// Number of contents that are refused.
     pub fn count_refused(&self, now: Instant) -> usize {
         let entries = self.entries.borrow();
         let until = entries.values().filter_map(Entry::refused_until);
         until.filter(|until| *until > now).count()
     }
 
-    /// Contents held.
+    /// Number of contents held.
     pub fn len(&self) -> usize {
         self.entries.borrow().len()
     }
 
-    /// Whether none is held.
+    /// Whether no content is held.
     pub fn is_empty(&self) -> bool {
         self.entries.borrow().is_empty()
     }
 
-    /// Takes over what another box told.
-    pub fn take(&self, rows: &[Row], now: Instant) -> Vec<Change> {
+    /// Merges rows that another box reported.
+    pub fn merge(&self, rows: &[Row], now: Instant) -> Vec<Change> {
         rows.iter()
-            .filter_map(|row| self.take_row(row, now))
+            .filter_map(|row| self.merge_row(row, now))
             .collect()
     }
 
-    fn take_row(&self, row: &Row, now: Instant) -> Option<Change> {
-        // Of what is older than this process's clock nothing is known anyway.
+    fn merge_row(&self, row: &Row, now: Instant) -> Option<Change> {
+        // Ages that reach back before the start of this process's clock cannot be
+        // expressed and are ignored.
         let ago = |age: Duration| now.checked_sub(age);
         self.change(row.content, now, |entry| {
             let cleared = row.cleared.and_then(ago).is_some_and(|at| entry.clear(at));
-            let ends = row.ends.iter().filter_map(|(server, age)| {
+            let crashes = row.ends.iter().filter_map(|(server, age)| {
                 let (server, at) = (*server, ago(*age)?);
-                Some(End { server, at })
+                Some(Crash { server, at })
             });
-            ends.fold(cleared, |news, end| entry.add(end) || news)
+            crashes.fold(cleared, |is_new, crash| entry.add(crash) || is_new)
         })
     }
 
-    /// What changed after a place, at most so many rows, and the place after them.
-    /// The place 0 is before all.
-    pub fn since(&self, place: u64, most: usize, told: Scope, now: Instant) -> (Vec<Row>, u64) {
+    /// The contents that changed after sequence number `place`, at most `most` of them,
+    /// and the sequence number from which to continue. The first call passes 0.
+    pub fn since(&self, place: u64, most: usize, scope: Scope, now: Instant) -> (Vec<Row>, u64) {
         let entries = self.entries.borrow();
         let order = self.order.borrow();
         let mut rows = Vec::new();
@@ -249,18 +268,18 @@
             let Some(entry) = entries.get(content) else {
                 continue;
             };
-            if told == Scope::All || entry.ends.len() > 1 || entry.cleared.is_some() {
+            if scope == Scope::All || entry.crashes.len() > 1 || entry.cleared.is_some() {
                 rows.push(row(*content, entry, now));
             }
         }
         (rows, self.changes.get())
     }
 
-    /// Forgets what is no longer needed.
-    pub fn forget(&self, now: Instant) {
+    /// Removes expired entries.
+    pub fn remove_expired(&self, now: Instant) {
         let mut order = self.order.borrow_mut();
         self.entries.borrow_mut().retain(|_, entry| {
-            let held = entry.held_until().is_some_and(|until| until > now);
+            let held = entry.kept_until().is_some_and(|until| until > now);
             if !held {
                 order.remove(&entry.changed);
             }
@@ -268,7 +287,8 @@
         });
     }
 
-    /// Changes what is known of a content; tells if its standing changed.
+    /// Changes the entry of a content. Returns whether that starts, extends or ends its
+    /// refusal.
     fn change(
         &self,
         content: Fingerprint,
@@ -290,37 +310,40 @@
         self.changes.set(self.changes.get() + 1);
         entry.changed = self.changes.get();
         order.insert(entry.changed, content);
-        let standing = match (refused, entry.refused_until()) {
+        let outcome = match (refused, entry.refused_until()) {
             (Some(_), None) => Some(Change::Cleared(content)),
             (before, Some(until)) if before.is_none_or(|before| before < until) => {
                 let left = until.saturating_duration_since(now);
-                Some(Change::Refused(content, entry.ends.len(), left))
+                Some(Change::Refused(content, entry.crashes.len(), left))
             }
             _ => None,
         };
         if entries.len() > CONTENTS_MAX {
-            drop_least(&mut entries, &mut order);
+            evict_least(&mut entries, &mut order);
         }
-        standing
+        outcome
     }
 }
 
 fn row(content: Fingerprint, entry: &Entry, now: Instant) -> Row {
     let age = |at: Instant| now.saturating_duration_since(at);
-    let ends = entry.ends.iter().map(|end| (end.server, age(end.at)));
+    let crashes = entry
+        .crashes
+        .iter()
+        .map(|crash| (crash.server, age(crash.at)));
     Row {
         content,
-        ends: ends.collect(),
+        ends: crashes.collect(),
         cleared: entry.cleared.map(age),
     }
 }
 
-/// Drops the content under which the fewest servers ended, of these the one that
-/// changed first.
-fn drop_least(entries: &mut HashMap<Fingerprint, Entry>, order: &mut BTreeMap<u64, Fingerprint>) {
+/// Drops the content with the fewest crashes, of these the one that changed least
+/// recently.
+fn evict_least(entries: &mut HashMap<Fingerprint, Entry>, order: &mut BTreeMap<u64, Fingerprint>) {
     let least = entries
         .iter()
-        .min_by_key(|(_, it)| (it.ends.len(), it.changed));
+        .min_by_key(|(_, it)| (it.crashes.len(), it.changed));
     let least = least.map(|(content, entry)| (*content, entry.changed));
     if let Some((content, changed)) = least {
         entries.remove(&content);
--- a/crates/relay/tests/relay/crashes.rs
+++ b/crates/relay/tests/relay/crashes.rs
@@ -1,5 +1,5 @@
-//! What a box knows of servers that ended under contents, without a network: order,
-//! times, bounds.
+//! The table of crashes under contents, without a network: order of reports, times,
+//! bounds.
 
 use std::time::Duration;
 
@@ -9,17 +9,17 @@
 use tidepier_clock::Instant;
 use tidepier_relay::content::{Fingerprint, Parts};
 use tidepier_relay::crash::table::{
-    Row, Scope, Table, CONTENTS_MAX, ENDS_MAX, REFUSED_MAX, REFUSED_MIN, RETENTION,
+    Row, Scope, Table, CONTENTS_MAX, CRASHES_MAX, REFUSED_MAX, REFUSED_MIN, RETENTION,
 };
 use tidepier_relay::fleet::Key;
 
 use crate::harness::{ms, Result};
 
-/// Longer than any end is remembered.
+/// Longer than any crash is kept.
 const DAY: Duration = Duration::from_secs(86_400);
-/// Bytes a second that a box may spend on control.
+/// Bytes a second that a box may spend on control traffic.
 const BYTES_PER_SECOND: f64 = 3_000.0;
-/// Time between two answers of a hub to a box, in seconds.
+/// Interval between two answers of a hub to a box, in seconds.
 const ASK_S: f64 = 0.4;
 
 fn content(number: u64) -> Fingerprint {
@@ -36,13 +36,13 @@
     Ok(Key::new(&format!("i-{number}").parse()?))
 }
 
-/// A table in which so many servers ended under a content, a second apart, the last
+/// A table in which `count` servers crashed under a content, a second apart, the last
 /// one at `last`.
-fn ended(count: u64, last: Instant) -> Result<Table> {
+fn crashed(count: u64, last: Instant) -> Result<Table> {
     let table = Table::default();
     for number in 0..count {
         let at = last - Duration::from_secs(count - 1 - number);
-        table.ended(content(1), server(number)?, at);
+        table.record_crash(content(1), server(number)?, at);
     }
     Ok(table)
 }
@@ -87,7 +87,7 @@
     ];
     ensure!(
         others.iter().all(|other| Fingerprint::new(other) != known),
-        "not told apart"
+        "two different contents have one fingerprint"
     );
     ensure!(known.to_string().parse() == Ok(known), "{known}");
     Ok(())
@@ -105,21 +105,21 @@
         (8, Some(REFUSED_MAX)),
         (40, Some(REFUSED_MAX)),
     ] {
-        let table = ended(ends, now)?;
-        ensure!(table.refused(content(1), now) == time, "{ends} ends");
+        let table = crashed(ends, now)?;
+        ensure!(table.refused(content(1), now) == time, "{ends} crashes");
         ensure!(table.refused(content(2), now).is_none(), "another content");
         let Some(time) = time else { continue };
         ensure!(
             table.refused(content(1), now + time).is_none(),
-            "{ends} ends, for ever"
+            "{ends} crashes: refused for too long"
         );
-        // Known for as long again, one more end is enough.
+        // The entry is kept for the same time again, in which one more crash is enough.
         let later = now + time + time / 2;
-        table.forget(later);
-        table.ended(content(1), server(99)?, later);
+        table.remove_expired(later);
+        table.record_crash(content(1), server(99)?, later);
         ensure!(
             table.refused(content(1), later).is_some(),
-            "{ends} ends, forgotten"
+            "{ends} crashes: the entry was removed too early"
         );
     }
     Ok(())
@@ -130,33 +130,33 @@
     let table = Table::default();
     let mut now = Instant::now() + DAY;
     for number in 0..6 {
-        table.ended(content(1), server(number)?, now);
+        table.record_crash(content(1), server(number)?, now);
         now = now + RETENTION + ms(1);
-        table.forget(now);
-        ensure!(table.is_empty(), "still known");
+        table.remove_expired(now);
+        ensure!(table.is_empty(), "the entry was not removed");
     }
     ensure!(table.refused(content(1), now).is_none(), "refused");
     Ok(())
 }
 
-/// Two boxes see one end at moments that differ; a server that is back under its id
-/// ends anew.
+/// Two boxes observe one crash at different times. A server that is back under its id
+/// may crash again.
 #[test]
 fn one_end_counts_once_and_two_of_one_server_twice() -> Result {
     let table = Table::default();
     let now = Instant::now() + DAY;
     for seen in [0, 40, 900] {
-        table.ended(content(1), server(1)?, now + ms(seen));
+        table.record_crash(content(1), server(1)?, now + ms(seen));
     }
-    table.ended(content(1), server(1)?, now + ms(4_000));
+    table.record_crash(content(1), server(1)?, now + ms(4_000));
     ensure!(
         table.refused(content(1), now + ms(4_000)).is_none(),
-        "refused after two"
+        "refused after two crashes"
     );
-    table.ended(content(1), server(1)?, now + ms(8_000));
+    table.record_crash(content(1), server(1)?, now + ms(8_000));
     ensure!(
         table.refused(content(1), now + ms(8_000)).is_some(),
-        "not refused after three"
+        "not refused after three crashes"
     );
     Ok(())
 }
@@ -164,44 +164,44 @@
 #[test]
 fn a_whole_answer_voids_what_was_before_it_wherever_it_is_told() -> Result {
     let now = Instant::now() + DAY;
-    let (here, there) = (ended(3, now)?, ended(3, now)?);
+    let (here, there) = (crashed(3, now)?, crashed(3, now)?);
     ensure!(
         here.answered(content(1), now + ms(10)).is_some(),
-        "no change"
+        "the answer did not end the refusal"
     );
     ensure!(here.refused(content(1), now).is_none(), "still refused");
     let (rows, _) = here.since(0, 10, Scope::Repeated, now + ms(20));
-    there.take(&rows, now + ms(400));
+    there.merge(&rows, now + ms(400));
     ensure!(
         there.refused(content(1), now + ms(400)).is_none(),
-        "still refused elsewhere"
+        "still refused at the other box"
     );
-    // The old ends, told late, change nothing.
-    let (old, _) = ended(3, now)?.since(0, 10, Scope::All, now);
-    here.take(&old, now + ms(5));
+    // Reports of the old crashes that arrive late change nothing.
+    let (old, _) = crashed(3, now)?.since(0, 10, Scope::All, now);
+    here.merge(&old, now + ms(5));
     ensure!(
         here.refused(content(1), now).is_none(),
-        "refused again by old ends"
+        "refused again for old crashes"
     );
-    // New ones count.
+    // New crashes count.
     for number in 10..13 {
         let at = now + ms(3_000 * number);
-        here.ended(content(1), server(number)?, at);
+        here.record_crash(content(1), server(number)?, at);
     }
     ensure!(
         here.refused(content(1), now + ms(40_000)).is_some(),
-        "new ends do not count"
+        "new crashes do not count"
     );
     ensure!(
         here.answered(content(2), now).is_none(),
-        "a change of nothing"
+        "an unknown content changed"
     );
-    ensure!(here.len() == 1, "answers are remembered");
+    ensure!(here.len() == 1, "an entry was added for an answer");
     Ok(())
 }
 
-/// Boxes may hear of ends in any order, twice and in parts, over others: what they
-/// refuse in the end is the same.
+/// Boxes may learn of crashes in any order, twice, in parts and through other boxes. In
+/// the end all of them refuse the same contents.
 #[test]
 fn all_boxes_refuse_the_same_whatever_order_they_hear_it_in() -> Result {
     let seen = prop::collection::vec((0..4u64, 0..5u64, 0..4u64, any::<bool>()), 1..40);
@@ -219,18 +219,18 @@
         for (number, (what, which, place, over)) in seen.iter().enumerate() {
             let at = start + ms(2_000 * number as u64);
             let key = server(*which).map_err(|error| TestCaseError::fail(error.to_string()))?;
-            direct.ended(content(*what), key, at);
-            boxes[(*place % 3) as usize].ended(content(*what), key, at);
+            direct.record_crash(content(*what), key, at);
+            boxes[(*place % 3) as usize].record_crash(content(*what), key, at);
             if *over {
                 let (from, to) = ((*place + order) % 3, (*place + 1) % 3);
                 let (rows, _) = boxes[from as usize].since(0, 100, Scope::All, end);
-                boxes[to as usize].take(&rows, end);
+                boxes[to as usize].merge(&rows, end);
             }
         }
-        // Twice around, so that each hears of all.
+        // Two rounds, so that each box learns of all crashes.
         for at in 0..6 {
             let (rows, _) = boxes[at % 3].since(0, 100, Scope::All, end);
-            boxes[(at + 1) % 3].take(&rows, end);
+            boxes[(at + 1) % 3].merge(&rows, end);
         }
         for what in 0..4 {
             let expected = direct.refused(content(what), end);
@@ -248,10 +248,10 @@
     let table = Table::default();
     let now = Instant::now() + DAY;
     for number in 0..100 {
-        table.ended(content(number), server(1)?, now);
-        table.ended(content(number), server(2)?, now);
+        table.record_crash(content(number), server(1)?, now);
+        table.record_crash(content(number), server(2)?, now);
     }
-    let (mut place, mut told) = (0, Vec::new());
+    let (mut place, mut reported) = (0, Vec::new());
     for _ in 0..4 {
         let (rows, next) = table.since(place, 32, Scope::Repeated, now);
         ensure!(rows.len() <= 32, "{} rows", rows.len());
@@ -259,64 +259,64 @@
         ciborium::into_writer(&rows, &mut bytes)?;
         let rate = bytes.len() as f64 / ASK_S;
         ensure!(rate < BYTES_PER_SECOND, "{rate} bytes a second");
-        told.extend(rows.into_iter().map(|row| row.content));
+        reported.extend(rows.into_iter().map(|row| row.content));
         place = next;
     }
-    told.sort();
-    told.dedup();
-    ensure!(told.len() == 100, "{} told", told.len());
+    reported.sort();
+    reported.dedup();
+    ensure!(reported.len() == 100, "{} reported", reported.len());
     ensure!(
         table.since(place, 32, Scope::Repeated, now).0.is_empty(),
-        "told again"
+        "reported again"
     );
-    // Another end of one of them is news.
-    table.ended(content(7), server(3)?, now);
+    // Another crash under one of them is new.
+    table.record_crash(content(7), server(3)?, now);
     let (rows, _) = table.since(place, 32, Scope::Repeated, now);
     ensure!(rows.len() == 1 && rows[0].ends.len() == 3, "{rows:?}");
-    // A single end concerns hubs alone.
-    table.ended(content(1_000), server(3)?, now);
+    // A single crash is reported to hubs only.
+    table.record_crash(content(1_000), server(3)?, now);
     let (_, place) = table.since(place, 32, Scope::Repeated, now);
-    table.ended(content(1_001), server(3)?, now);
+    table.record_crash(content(1_001), server(3)?, now);
     ensure!(
         table.since(place, 32, Scope::Repeated, now).0.is_empty(),
-        "told to a box"
+        "reported to a box"
     );
     ensure!(
         table.since(place, 32, Scope::All, now).0.len() == 1,
-        "not told to a hub"
+        "not reported to a hub"
     );
     Ok(())
 }
 
-/// Somebody sends thousands of different requests that end servers: what is refused
-/// stays so, and what is held is bounded.
+/// A client sends thousands of different requests that crash servers. What is refused
+/// stays refused, and memory is bounded.
 #[test]
 fn thousands_of_contents_are_held_in_bounds() -> Result {
     let now = Instant::now() + DAY;
-    let table = ended(3, now)?;
+    let table = crashed(3, now)?;
     for number in 10..3 * CONTENTS_MAX as u64 {
-        table.ended(content(number), server(number % 300)?, now);
+        table.record_crash(content(number), server(number % 300)?, now);
     }
     ensure!(table.len() <= CONTENTS_MAX, "{} held", table.len());
     ensure!(
         table.refused(content(1), now).is_some(),
-        "forgotten for others"
+        "evicted for other contents"
     );
     let (rows, _) = table.since(0, usize::MAX, Scope::All, now);
     ensure!(rows.len() == table.len(), "{} rows", rows.len());
-    // One content with many ends.
+    // One content with many crashes.
     for number in 0..1_000 {
-        table.ended(content(1), server(number)?, now + ms(number));
+        table.record_crash(content(1), server(number)?, now + ms(number));
     }
     let (rows, _) = table.since(0, usize::MAX, Scope::All, now);
     let row = rows.iter().find(|row| row.content == content(1));
-    let row = row.ok_or_else(|| eyre!("not told"))?;
-    ensure!(row.ends.len() <= ENDS_MAX, "{} ends", row.ends.len());
+    let row = row.ok_or_else(|| eyre!("not reported"))?;
+    ensure!(row.ends.len() <= CRASHES_MAX, "{} crashes", row.ends.len());
     Ok(())
 }
 
-/// Whatever another box says, nothing is refused without three ends, and no age is too
-/// large.
+/// Whatever another box reports, nothing is refused without three crashes, and no age is
+/// too large.
 #[test]
 fn strange_rows_do_no_harm() -> Result {
     let table = Table::default();
@@ -338,7 +338,7 @@
             cleared: None,
         },
     ];
-    table.take(&rows, now);
+    table.merge(&rows, now);
     ensure!(table.count_refused(now) == 0, "refused");
     ensure!(table.len() == 1, "{} held", table.len());
     Ok(())
