--- a/crates/relay/src/budget.rs
+++ b/crates/relay/src/budget.rs
@@ -1,12 +1,12 @@
-//! The share of all retries that this box may spend.
+//! This box's share of the fleet's retry budget.
 //!
-//! The fleet as a whole may send a service no more repeats in a window than a
-//! ratio of its requests plus a fixed number. No box knows what the others
-//! spend, so each keeps within what adds up to the whole: the ratio of its own
-//! requests and its part of the fixed number.
+//! Within a window, the fleet as a whole may send the servers of a service no more
+//! retries than a ratio of its requests plus a fixed number. No box knows what the
+//! others spend, so each keeps to a part of that, and the parts add up to the whole: the
+//! ratio of its own requests, and its share of the fixed number.
 //!
-//! Invariant: in any window, [`Budget::spend`] succeeds at most `ratio` times
-//! the requests counted here in that window, plus the fixed part.
+//! Invariant: in any window, [`Budget::spend`] succeeds at most `ratio` times the
+//! requests counted here in that window, plus the share of the fixed number.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -15,22 +15,23 @@
 use tidepier_clock::Instant;
 use tidepier_ids as ids;
 
-/// Parts that a window is counted in. A part more than the window is kept, so
-/// that what is counted is never less than the window holds.
+/// Number of parts that a window is divided into for counting. One part more than the
+/// window is kept, so that the count of retries is never lower than the actual one in
+/// the window.
 const PARTS: u32 = 10;
 
-/// Of the fleet's allowance, how much is spent: the rest covers the error of
-/// counting in parts and boxes that have just come or gone.
-const CAUTION: f64 = 0.85;
+/// Fraction of the fleet's budget that is spent. The remainder covers the error of
+/// counting in parts, and boxes that have just joined or left.
+const SPENT_PART: f64 = 0.85;
 
-/// The terms of the allowance.
+/// The parameters of the budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
-    /// Repeats allowed for each request.
+    /// Retries allowed for each request.
     pub ratio: f64,
-    /// Repeats allowed on top, over the whole fleet.
+    /// Retries allowed in addition, over the whole fleet.
     pub extra: f64,
-    /// The window that they are counted in.
+    /// The window in which both are counted.
     pub window: Duration,
 }
 
@@ -38,29 +39,29 @@
 struct Part {
     number: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
-/// Counts requests and repeats by service.
+/// Counts requests and retries by service.
 pub struct Budget {
-    terms: Cell<Limits>,
+    limits: Cell<Limits>,
     start: Instant,
     parts: RefCell<HashMap<ids::Service, VecDeque<Part>>>,
 }
 
 impl Budget {
-    /// A budget on these terms.
-    pub fn new(terms: Limits) -> Self {
+    /// Creates a budget with these parameters.
+    pub fn new(limits: Limits) -> Self {
         Self {
-            terms: Cell::new(terms),
+            limits: Cell::new(limits),
             start: Instant::now(),
             parts: RefCell::default(),
         }
     }
 
-    /// Changes the terms; what was counted stays.
-    pub fn set_limits(&self, terms: Limits) {
-        self.terms.set(terms);
+    /// Changes the parameters; the counts are kept.
+    pub fn set_limits(&self, limits: Limits) {
+        self.limits.set(limits);
     }
 
     /// Counts a request for a service.
@@ -68,26 +69,26 @@
         self.with_part(service, now, |part| part.requests += 1);
     }
 
-    /// Takes one repeat for a service, if the allowance has one left while the
-    /// fleet has `boxes` boxes.
+    /// Spends one retry for a service, if the budget has one left while the fleet has
+    /// `boxes` boxes. Returns whether it had.
     pub fn spend(&self, service: &ids::Service, boxes: usize, now: Instant) -> bool {
-        let (requests, repeats) = self.counted(service, now);
-        let fixed = self.terms.get().extra / boxes.max(1) as f64;
-        let allowed = CAUTION * (self.terms.get().ratio * f64::from(requests) + fixed);
-        if f64::from(repeats) + 1.0 > allowed {
+        let (requests, retries) = self.counted(service, now);
+        let fixed = self.limits.get().extra / boxes.max(1) as f64;
+        let allowed = SPENT_PART * (self.limits.get().ratio * f64::from(requests) + fixed);
+        if f64::from(retries) + 1.0 > allowed {
             return false;
         }
-        self.with_part(service, now, |part| part.repeats += 1);
+        self.with_part(service, now, |part| part.retries += 1);
         true
     }
 
-    fn number(&self, now: Instant) -> u64 {
-        let part = self.terms.get().window / PARTS;
+    fn part_number(&self, now: Instant) -> u64 {
+        let part = self.limits.get().window / PARTS;
         (now.duration_since(self.start).as_nanos() / part.as_nanos().max(1)) as u64
     }
 
     fn with_part(&self, service: &ids::Service, now: Instant, change: impl FnOnce(&mut Part)) {
-        let number = self.number(now);
+        let number = self.part_number(now);
         let mut all = self.parts.borrow_mut();
         let parts = all.entry(service.clone()).or_default();
         if parts.back().is_none_or(|last| last.number < number) {
@@ -103,21 +104,21 @@
         }
     }
 
-    /// Requests and repeats in the window. Requests are counted over the
-    /// window alone, repeats over a part more.
+    /// Requests and retries in the window. Retries are also counted in the additional
+    /// part before it, requests are not.
     fn counted(&self, service: &ids::Service, now: Instant) -> (u32, u32) {
-        let number = self.number(now);
+        let number = self.part_number(now);
         let oldest = number.saturating_sub(u64::from(PARTS));
         let all = self.parts.borrow();
         let parts = all.get(service).into_iter().flatten();
         let recent = parts.filter(|part| part.number >= oldest);
-        recent.fold((0, 0), |(requests, repeats), part| {
+        recent.fold((0, 0), |(requests, retries), part| {
             let within = if part.number > oldest {
                 part.requests
             } else {
                 0
             };
-            (requests + within, repeats + part.repeats)
+            (requests + within, retries + part.retries)
         })
     }
 }
--- a/crates/relay/src/client_connections.rs
+++ b/crates/relay/src/client_connections.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: one task each, from the first byte to the end.
+//! Client connections: one task each, from the first byte to the end.
 
 use std::future;
 use std::io;
@@ -19,21 +19,23 @@
 use crate::stop::Phase;
 use crate::timeout;
 
-/// Data that a client leaves unacknowledged for so long ends its connection.
+/// Time after which a connection is closed whose client does not acknowledge data.
 const UNACKED_TIME: Duration = Duration::from_secs(8);
-/// Bytes that a client may send ahead of its answer before its leaving is no
-/// longer watched for.
-const AHEAD_BYTES: usize = 64 << 10;
-/// Longest time for a body whose client and route set no time: such a request
-/// is refused whenever it is whole, so that nothing is lost by the limit.
+/// Bytes that a client may send before its answer is complete; beyond that, the box no
+/// longer notices that the client has closed its connection.
+const READ_AHEAD_MAX: usize = 64 << 10;
+/// Time limit for a body where neither the client nor the route sets one. Such a request
+/// is refused even when it is complete, so the limit loses nothing.
 const BODY_TIME: Duration = Duration::from_secs(60);
-/// Pause after a connection could not be accepted, as when descriptors run out.
+/// Pause after a connection could not be accepted, for instance when file descriptors
+/// run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Time in which a refused client's unread bytes are taken, so that closing
-/// does not reset the connection and destroy the refusal on its way.
+/// Time for which unread bytes of a refused client are read and discarded. Closing the
+/// connection with unread bytes would reset it and could destroy the refusal in transit.
 const LINGER_TIME: Duration = Duration::from_millis(300);
 
-/// Accepts clients' connections until the stop no longer takes any.
+/// Accepts client connections until the shutdown reaches the phase in which none are
+/// accepted.
 pub async fn accept(relay: Rc<Relay>, listener: Listener, executor: Rc<LocalExecutor<'static>>) {
     let closing = async {
         relay.stop.wait_for_phase(Phase::Closing).await;
@@ -42,7 +44,7 @@
     let mut closing = std::pin::pin!(closing);
     loop {
         let accepted = async {
-            room(&relay).await;
+            wait_for_capacity(&relay).await;
             Some(listener.accept(UNACKED_TIME).await)
         };
         match accepted.or(closing.as_mut()).await {
@@ -52,7 +54,8 @@
                 executor
                     .spawn(async move { serve(&relay, conn).await })
                     .detach();
-                // Lets the client be counted before the next one is taken.
+                // Yields, so that the new connection is counted before the next one is
+                // accepted.
                 yield_now().await;
             }
             Some(Err(error)) => {
@@ -63,10 +66,10 @@
     }
 }
 
-/// Waits until another client may be taken. Those beyond the bound stay in the
-/// system's queue, from which the platform or they themselves go elsewhere, and
-/// answers close connections meanwhile.
-async fn room(relay: &Relay) {
+/// Waits until another connection may be accepted. Clients beyond the limit wait in the
+/// operating system's accept queue, from which the platform redirects them or they retry
+/// elsewhere. Meanwhile answers close connections.
+async fn wait_for_capacity(relay: &Relay) {
     if !relay.is_full() {
         return;
     }
@@ -114,7 +117,7 @@
             writer.finish();
             linger(conn).await;
         }
-        // Ending this side first would tell the client that the answer is whole.
+        // Closing the sending side normally would signal that the answer is complete.
         Disposition::Reset => {
             if let Err(error) = writer.reset_on_close() {
                 log::info!(target: "request", "event=already_closed why=\"{error}\"");
@@ -124,7 +127,7 @@
     end
 }
 
-/// Answers a request unless its client leaves before.
+/// Answers a request unless its client closes the connection before.
 async fn answer(
     relay: &Relay,
     conn: &mut Conn,
@@ -132,11 +135,11 @@
     writer: &Writer,
 ) -> Disposition {
     let answered = async { Some(exchange::run(relay, arrival, writer).await) };
-    let left = async {
-        left(conn).await;
+    let client_left = async {
+        client_left(conn).await;
         None
     };
-    answered.or(left).await.unwrap_or_else(|| {
+    answered.or(client_left).await.unwrap_or_else(|| {
         metrics::counter!("tidepier_clients_left_total").increment(1);
         let request = wire_request::decode(arrival.head);
         log::info!(
@@ -155,7 +158,7 @@
     catalog.map(|catalog| catalog.limits).unwrap_or_default()
 }
 
-/// Waits for the first byte of a request; `false` when none comes.
+/// Waits for the first byte of a request; returns `false` if none comes.
 async fn first_byte(relay: &Relay, conn: &mut Conn, limits: &Limits) -> bool {
     if !conn.pending().is_empty() {
         return true;
@@ -169,11 +172,11 @@
     matches!(came, Some(Some(Ok(1..))))
 }
 
-/// Why a request was not read whole.
+/// Why a request was not read completely.
 enum Unread {
-    /// The client is gone or broke off.
+    /// The client closed or broke the connection.
     Gone,
-    /// It is refused.
+    /// The request is refused.
     Refused(refusal::Kind),
 }
 
@@ -191,9 +194,9 @@
     }
 }
 
-/// Reads a request's body; also returns whether the head announced one.
-/// `until` is when its client has no more use for an answer; it is asked for
-/// only if the body did not come with the head.
+/// Reads a request's body; also returns whether the head announced one. `until` returns
+/// the time after which the client has no use for an answer. It is called only if the
+/// body did not arrive with the head.
 async fn body(
     conn: &mut Conn,
     writer: &Writer,
@@ -211,12 +214,12 @@
         Framing::Length(length) => length as usize,
         _ => 0,
     };
-    let awaited = head
+    let expects_continue = head
         .text("expect")
         .is_some_and(|text| text.eq_ignore_ascii_case("100-continue"));
-    if awaited && framing != Framing::Empty {
-        let go_on = writer.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
-        go_on.map_err(|_| Unread::Gone)?;
+    if expects_continue && framing != Framing::Empty {
+        let interim = writer.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
+        interim.map_err(|_| Unread::Gone)?;
     }
     let mut bytes = Vec::with_capacity(capacity);
     let mut body = Body::new(framing);
@@ -240,7 +243,7 @@
     }
 }
 
-/// Ends the connection of a request that was not read whole.
+/// Closes the connection of a request that was not read completely.
 async fn end_unread(conn: &mut Conn, writer: &Writer, unread: Unread) -> Disposition {
     match unread {
         Unread::Gone => Disposition::Close,
@@ -248,7 +251,7 @@
     }
 }
 
-/// Refuses a request that was not read whole and ends the connection.
+/// Refuses a request that was not read completely, and closes the connection.
 async fn refuse_unread(conn: &mut Conn, writer: &Writer, kind: refusal::Kind) -> Disposition {
     metrics::counter!("tidepier_refusals_total", "why" => kind.name()).increment(1);
     log::info!(target: "request", "event=turned_away why={kind} status={}", kind.status());
@@ -268,16 +271,17 @@
     Disposition::Close
 }
 
-/// Takes what the client still sends until it closes, for a short time.
+/// Reads and discards what the client still sends until it closes the connection, for at
+/// most [`LINGER_TIME`].
 async fn linger(conn: &mut Conn) {
     let drain = async { while let Ok(1..) = conn.scrap().await {} };
     timeout::within(LINGER_TIME, drain).await;
 }
 
-/// Ends when the client has closed its connection.
-async fn left(conn: &mut Conn) {
+/// Returns when the client has closed its connection.
+async fn client_left(conn: &mut Conn) {
     loop {
-        if conn.pending().len() > AHEAD_BYTES {
+        if conn.pending().len() > READ_AHEAD_MAX {
             return future::pending().await;
         }
         match conn.fill().await {
--- a/crates/relay/src/emptied_halls.rs
+++ b/crates/relay/src/emptied_halls.rs
@@ -1,14 +1,13 @@
-//! The halls that the operator asked to empty, each as of a revision of the
-//! store.
+//! The halls that the operator asked to empty, each as of a revision of the store.
 //!
 //! Boxes learn of them from the store and from each other, in any order.
 //!
 //! Invariants:
 //!
-//! * What is older never replaces what is newer, whoever tells it; so a hall that was
-//!   taken back is not emptied again by a late message.
-//! * While what was known in a former era stands, neither the absence of an entry nor one
-//!   that the store's copy may have had takes it back.
+//! * Older information never replaces newer, whoever sends it. Emptying a hall that was
+//!   cancelled is therefore not brought back by a late message.
+//! * While state known from a stale era takes precedence, neither a missing entry nor a
+//!   backup entry cancels it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,8 +19,8 @@
 use crate::era_state::Precedence;
 use crate::revision_serde;
 
-/// Halls remembered that were taken back: more than any operator has.
-const BACK_MAX: usize = 64;
+/// Most halls remembered whose emptying was cancelled; no operator has that many halls.
+const CANCELLED_MAX: usize = 64;
 
 /// A hall that is to be empty.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -35,16 +34,16 @@
 
 /// All halls that are to be empty as of a revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(from = "Told", into = "Told")]
+#[serde(from = "ListParts", into = "ListParts")]
 pub struct List {
     /// The halls.
     pub rows: Vec<Row>,
-    /// The revision of the store up to which nothing else was asked.
+    /// The revision of the store up to which no other hall was asked to be emptied.
     pub seen: Revision,
 }
 
 impl List {
-    /// The same of a box that knows no eras, as one of this era.
+    /// Assigns an era to a list from a box that does not know eras.
     pub fn in_era(mut self, era: Era) -> Self {
         let of_era = |revision: Revision| Revision::new(era, revision.number());
         self.seen = of_era(self.seen);
@@ -55,23 +54,23 @@
     }
 }
 
-/// A list as messages carry it.
+/// A list as it is sent.
 #[derive(Serialize, Deserialize)]
-struct Told {
+struct ListParts {
     rows: Vec<Row>,
     seen: u64,
     #[serde(default, skip_serializing_if = "revision_serde::is_default_era")]
     era: u64,
 }
 
-impl From<Told> for List {
-    fn from(Told { rows, seen, era }: Told) -> Self {
+impl From<ListParts> for List {
+    fn from(ListParts { rows, seen, era }: ListParts) -> Self {
         let seen = Revision::new(Era(era), seen);
         Self { rows, seen }
     }
 }
 
-impl From<List> for Told {
+impl From<List> for ListParts {
     fn from(List { rows, seen }: List) -> Self {
         Self {
             rows,
@@ -81,90 +80,91 @@
     }
 }
 
-/// What was last asked of one hall.
+/// The operator's last request about one hall.
 #[derive(Debug, Clone, Copy)]
-struct Asked {
+struct Request {
     empty: bool,
     revision: Revision,
 }
 
-/// What one box knows.
+/// The operator's requests about halls, as known to one box.
 #[derive(Debug, Default)]
 pub struct EmptiedHalls {
-    asked: RefCell<BTreeMap<ids::Hall, Asked>>,
+    requests: RefCell<BTreeMap<ids::Hall, Request>>,
     seen: Cell<Revision>,
-    /// The entries that the store has, which may be older than what was asked last.
+    /// The entries in the store, which may be older than the last requests.
     stored: RefCell<BTreeMap<ids::Hall, Revision>>,
 }
 
 impl EmptiedHalls {
-    /// Records that a hall is to be empty, unless what is known stands against it.
-    pub fn empty(&self, hall: ids::Hall, revision: Revision, hold: Option<Precedence>) {
+    /// Records an entry that asks to empty a hall. It is ignored where what is known
+    /// takes precedence.
+    pub fn empty(&self, hall: ids::Hall, revision: Revision, precedence: Option<Precedence>) {
         self.stored.borrow_mut().insert(hall.clone(), revision);
-        self.set(hall, true, revision, hold);
+        self.set(hall, true, revision, precedence);
     }
 
-    /// Records that a hall was taken back.
+    /// Records that the operator cancelled the emptying of a hall.
     pub fn take_back(&self, hall: ids::Hall, revision: Revision) {
         self.stored.borrow_mut().remove(&hall);
         self.set(hall, false, revision, None);
     }
 
-    /// Records what another box knows to have been asked in an era before `era`, where
-    /// nothing is known of the hall.
+    /// Records a request of an era before `era` that another box knows, if nothing is
+    /// known of the hall.
     pub fn recall(&self, row: &Row, era: Era) {
         if row.revision.era() >= era {
             return;
         }
-        let mut asked = self.asked.borrow_mut();
+        let mut requests = self.requests.borrow_mut();
         let (empty, revision) = (true, row.revision);
-        let recalled = Asked { empty, revision };
-        asked.entry(row.hall.clone()).or_insert(recalled);
+        let recalled = Request { empty, revision };
+        requests.entry(row.hall.clone()).or_insert(recalled);
     }
 
-    /// Takes over the whole state as of a revision, unless what is known stands against
-    /// it. Returns whether a proof of the one proves the other: what is known here is the
-    /// same now, but for what stands.
-    pub fn merge(&self, list: &List, hold: Option<Precedence>) -> bool {
+    /// Applies the complete state as of a revision, except where what is known takes
+    /// precedence. Returns whether a proof that the one is current also proves the
+    /// other: what is known now equals the list, except where it takes precedence.
+    pub fn merge(&self, list: &List, precedence: Option<Precedence>) -> bool {
         let listed: BTreeMap<ids::Hall, Revision> = list
             .rows
             .iter()
             .map(|row| (row.hall.clone(), row.revision))
             .collect();
-        let is_former = |revision| hold.is_some_and(|hold| hold.is_former(revision));
+        let is_former = |revision| precedence.is_some_and(|it| it.is_former(revision));
         for row in self.rows() {
             if !listed.contains_key(&row.hall) && !is_former(row.revision) {
                 self.take_back(row.hall, list.seen);
             }
         }
         for (hall, revision) in &listed {
-            self.set(hall.clone(), true, *revision, hold);
+            self.set(hall.clone(), true, *revision, precedence);
         }
         self.seen.set(self.seen.get().max(list.seen));
-        let asked = self.asked.borrow();
-        let agrees = |(hall, last): (&ids::Hall, &Asked)| match listed.get(hall) {
+        let requests = self.requests.borrow();
+        let agrees = |(hall, last): (&ids::Hall, &Request)| match listed.get(hall) {
             None => !last.empty || is_former(last.revision),
             Some(revision) if last.empty && last.revision == *revision => true,
-            Some(revision) => hold.is_some_and(|hold| hold.keeps(last.revision, *revision)),
+            Some(revision) => precedence.is_some_and(|it| it.keeps(last.revision, *revision)),
         };
-        let same = asked.iter().all(agrees);
-        drop(asked);
+        let same = requests.iter().all(agrees);
+        drop(requests);
         *self.stored.borrow_mut() = listed;
         same
     }
 
-    /// Whether the store's entries say the same.
+    /// Whether the entries in the store name the same halls.
     pub fn is_stored(&self) -> bool {
         let stored = self.stored.borrow();
         self.halls().iter().eq(stored.keys())
     }
 
-    /// The entries that the store has.
+    /// The entries in the store.
     pub fn stored(&self) -> BTreeMap<ids::Hall, Revision> {
         self.stored.borrow().clone()
     }
 
-    /// The whole state.
+    /// The complete state.
     pub fn list(&self) -> List {
         List {
             rows: self.rows(),
@@ -178,8 +178,8 @@
     }
 
     fn rows(&self) -> Vec<Row> {
-        let asked = self.asked.borrow();
-        let empty = asked.iter().filter(|(_, last)| last.empty);
+        let requests = self.requests.borrow();
+        let empty = requests.iter().filter(|(_, last)| last.empty);
         let rows = empty.map(|(hall, last)| Row {
             hall: hall.clone(),
             revision: last.revision,
@@ -187,21 +187,27 @@
         rows.collect()
     }
 
-    fn set(&self, hall: ids::Hall, empty: bool, revision: Revision, hold: Option<Precedence>) {
+    fn set(
+        &self,
+        hall: ids::Hall,
+        empty: bool,
+        revision: Revision,
+        precedence: Option<Precedence>,
+    ) {
         self.seen.set(self.seen.get().max(revision));
-        let mut asked = self.asked.borrow_mut();
-        if let Some(known) = asked.get(&hall) {
-            let stands = hold.is_some_and(|hold| hold.keeps(known.revision, revision));
-            if known.revision >= revision || stands && known.empty != empty {
+        let mut requests = self.requests.borrow_mut();
+        if let Some(known) = requests.get(&hall) {
+            let takes_precedence = precedence.is_some_and(|it| it.keeps(known.revision, revision));
+            if known.revision >= revision || takes_precedence && known.empty != empty {
                 return;
             }
         }
-        asked.insert(hall, Asked { empty, revision });
-        let back = asked.iter().filter(|(_, last)| !last.empty);
-        if back.clone().count() > BACK_MAX {
-            let oldest = back.min_by_key(|(_, last)| last.revision);
+        requests.insert(hall, Request { empty, revision });
+        let cancelled = requests.iter().filter(|(_, last)| !last.empty);
+        if cancelled.clone().count() > CANCELLED_MAX {
+            let oldest = cancelled.min_by_key(|(_, last)| last.revision);
             if let Some(hall) = oldest.map(|(hall, _)| hall.clone()) {
-                asked.remove(&hall);
+                requests.remove(&hall);
             }
         }
     }
--- a/crates/relay/src/era_state.rs
+++ b/crates/relay/src/era_state.rs
@@ -1,16 +1,16 @@
-//! How far the word of the store holds that this box follows.
+//! How far the box can rely on the store's entries in the store's current era.
 //!
-//! After the store came back from an older copy, its entries may be older than what was
-//! in force before, and what is missing may be written again. Until the operator's
-//! entries are whole again, what this box knew holds, and nothing proves that it is the
-//! newest.
+//! After the store was restored from a backup, its entries may be older than what was in
+//! force before, and missing ones may be rewritten later. Until the operator entries are
+//! complete again, the state that this box knew before stays in force, and nothing
+//! proves that it is the newest.
 //!
 //! Invariants:
 //!
 //! * An era is never left for an earlier one.
-//! * What is older than the version in force proves nothing.
-//! * An era that a box starts in counts as one that has just begun, until something
-//!   shows that the operator's entries are whole in it.
+//! * A configuration older than the version in force proves nothing.
+//! * A box that starts treats the era that it finds as one that has just begun, until
+//!   something shows that the operator entries are complete in it.
 
 use std::cell::Cell;
 use std::fmt;
@@ -20,56 +20,57 @@
 use tidepier_core::catalog::Version;
 use tidepier_core::era::{Era, Revision};
 
-/// Where an entry of the store is from.
+/// Where an entry in the store comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Origin {
-    /// It was written in this era.
+    /// It was written in the current era.
     Era,
-    /// The copy may have had it.
+    /// It may be from the backup.
     Backup,
 }
 
-/// While it lasts, what was known in former eras stands against what the copy may have
-/// had.
+/// While this rule applies, state known from stale eras takes precedence over backup
+/// entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Precedence {
-    /// The first state of the era that was heard of.
+    /// The earliest state of the era that this box observed.
     first: Revision,
 }
 
 impl Precedence {
-    /// The hold of an era with this first state.
+    /// Creates the rule for an era of which this is the earliest state observed.
     pub fn new(first: Revision) -> Self {
         Self { first }
     }
 
-    /// Whether `known` stands against an entry of this revision that says otherwise.
+    /// Whether `known` takes precedence over a contradicting entry with this revision.
     pub fn keeps(&self, known: Revision, entry: Revision) -> bool {
         self.is_former(known) && entry <= self.first
     }
 
-    /// Whether a revision is of a former era.
+    /// Whether a revision is of a stale era.
     pub fn is_former(&self, known: Revision) -> bool {
         known.era() < self.first.era()
     }
 }
 
-/// What shows that the operator's entries are whole in an era.
+/// Evidence that the operator entries are complete in an era.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Evidence {
-    /// The store tells no eras.
+    /// The store reports no eras.
     NoEras,
     /// All boxes start for the first time.
     FirstStart,
     /// The operator wrote a configuration that is not older than the one in force.
     Written,
-    /// The store has the version that was in force before, no other box that was asked
-    /// knows a newer one, and its word counts as after any trouble. A change that was
-    /// lost as it was made is known to no box, and the copy says nothing of it.
+    /// The store has the version that was in force before, no other box that was queried
+    /// knows a newer one, and the store's entries are authoritative again, as after any
+    /// trouble with the store. A change that was lost while it was made is known to no
+    /// box and is not in the backup.
     Same,
-    /// Another box says so, by itself or by the mark in the store.
+    /// Another box reports it, directly or by the mark in the store.
     Report,
-    /// The time is over in which they would have been written again.
+    /// The time is over in which the operator would have rewritten the entries.
     Waited,
 }
 
@@ -86,7 +87,7 @@
     }
 }
 
-/// The operator's configuration as the store has it.
+/// The operator's configuration as stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Entry {
     /// Its version.
@@ -95,62 +96,64 @@
     pub revision: Revision,
 }
 
-/// What was known of the operator's configuration as an era began.
+/// What was known of the operator's configuration when an era began.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Prior {
-    /// The version in force here.
+    /// The version in force at this box.
     pub in_force: Option<Version>,
-    /// The store's entry.
+    /// The entry in the store.
     pub entry: Option<Entry>,
-    /// The newest state of the store that was known to have that entry.
+    /// The newest state of the store that was known to contain that entry.
     pub state: Revision,
-    /// How long ago all that the store held was known here; `None`: it never was.
+    /// How long ago this box knew everything that the store held; `None` if it never
+    /// did.
     pub age: Option<Duration>,
 }
 
 impl Prior {
-    /// Whether an entry of the next era cannot be from this one, as this one had another
-    /// entry in a state at which that number had been given out.
+    /// Whether an entry found in the next era cannot be from this one: this era had
+    /// another entry in a state in which that revision number had already been assigned.
     fn rules_out(&self, later: Entry) -> bool {
         self.entry.is_some_and(|entry| {
             let same = entry.version == later.version
                 && entry.revision.number() == later.revision.number();
-            let given_out = later.revision.number() <= self.state.number();
-            given_out && !same && later.version >= entry.version
+            let was_assigned = later.revision.number() <= self.state.number();
+            was_assigned && !same && later.version >= entry.version
         })
     }
 }
 
-/// How long some grounds wait.
+/// Times after which some evidence counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Waits {
-    /// Time after trouble of the store from which its word counts again.
+    /// Time after trouble with the store after which its entries are authoritative
+    /// again.
     pub stable: Duration,
-    /// Time in which the operator writes again what was lost.
+    /// Time in which the operator rewrites what was lost.
     pub rewrite: Duration,
 }
 
 /// An era as this box knows it.
 #[derive(Debug, Clone, Copy)]
-struct Known {
+struct Observed {
     era: Era,
-    /// The lowest number of the store's state that was heard of.
+    /// The lowest revision number of the store that was observed in the era.
     first: u64,
     since: Instant,
-    before: Prior,
-    /// Whether the operator's entries were whole in the era before.
+    prior: Prior,
+    /// Whether the operator entries were complete in the era before.
     was_settled: bool,
-    ground: Option<Evidence>,
+    evidence: Option<Evidence>,
 }
 
 /// What one box knows of the store's era.
 #[derive(Debug, Default)]
 pub struct EraState {
-    known: Cell<Option<Known>>,
-    /// Whether other boxes were asked since it began.
-    asked: Cell<bool>,
+    known: Cell<Option<Observed>>,
+    /// Whether other boxes were queried since the era began.
+    peers_queried: Cell<bool>,
     first_start: Cell<bool>,
-    /// Whether more than one era was heard of.
+    /// Whether more than one era was observed.
     changed: Cell<bool>,
 }
 
@@ -160,62 +163,62 @@
         self.first_start.set(true);
     }
 
-    /// Whether something has yet to show that the operator's entries are whole.
+    /// Whether evidence is still missing that the operator entries are complete.
     pub fn is_open(&self) -> bool {
         match self.known.get() {
-            Some(known) => known.ground.is_none(),
+            Some(known) => known.evidence.is_none(),
             None => !self.first_start.get(),
         }
     }
 
-    /// The era, once one was heard of.
+    /// The era, once one was observed.
     pub fn era(&self) -> Option<Era> {
         self.known.get().map(|known| known.era)
     }
 
-    /// Whether more than one era was heard of.
+    /// Whether more than one era was observed.
     pub fn has_changed(&self) -> bool {
         self.changed.get()
     }
 
-    /// The lowest number of the store's state that was heard of in this era.
+    /// The lowest revision number of the store that was observed in this era.
     pub fn first(&self) -> u64 {
         self.known.get().map_or(0, |known| known.first)
     }
 
-    /// Records a state of the store that was heard of at `now`, and what was known before.
-    /// Returns whether it is the first one of a later era.
-    pub fn observe(&self, state: Revision, before: Prior, now: Instant) -> bool {
+    /// Records a state of the store that was observed at `now`, and what was known
+    /// before. Returns whether it is the first observed state of a later era.
+    pub fn observe(&self, state: Revision, prior: Prior, now: Instant) -> bool {
         let (era, first) = (state.era(), state.number());
         match self.known.get() {
             Some(known) if era < known.era => false,
             Some(known) if era == known.era => {
                 let first = known.first.min(first);
-                self.known.set(Some(Known { first, ..known }));
+                self.known.set(Some(Observed { first, ..known }));
                 false
             }
             earlier => {
-                let ground = match earlier {
+                let evidence = match earlier {
                     _ if era == Era(0) => Some(Evidence::NoEras),
                     None if self.first_start.get() => Some(Evidence::FirstStart),
                     _ => None,
                 };
-                self.asked.set(false);
+                self.peers_queried.set(false);
                 self.changed.set(earlier.is_some());
-                self.known.set(Some(Known {
+                self.known.set(Some(Observed {
                     era,
                     first,
                     since: now,
-                    before,
-                    was_settled: earlier.is_some_and(|known| known.ground.is_some()),
-                    ground,
+                    prior,
+                    was_settled: earlier.is_some_and(|known| known.evidence.is_some()),
+                    evidence,
                 }));
                 true
             }
         }
     }
 
-    /// Where an entry is from that the store has.
+    /// Where an entry in the store comes from.
     pub fn origin(&self, revision: Revision) -> Origin {
         let written = self.known.get().is_some_and(|known| {
             let later = revision.era() == known.era && revision.number() > known.first;
@@ -228,52 +231,56 @@
         }
     }
 
-    /// The same where what was known was not older than that as the era began: else the
-    /// copy may be newer. A box that starts knows what others tell it since.
+    /// Like [`Self::hold`], but only if what was known was younger than `within`
+    /// when the era began: otherwise the backup may be newer. A box that has just
+    /// started knows only what others have reported since.
     pub fn hold_recent(&self, within: Duration, now: Instant) -> Option<Precedence> {
         let known = self.known.get()?;
-        let recent = known.before.age.is_none_or(|age| age < within);
+        let recent = known.prior.age.is_none_or(|age| age < within);
         self.hold(within, now).filter(|_| recent)
     }
 
-    /// What was known in former eras stands while the era is younger than `within`.
+    /// The precedence of state known from stale eras, while the era is younger than
+    /// `within`.
     pub fn hold(&self, within: Duration, now: Instant) -> Option<Precedence> {
         let known = self.known.get()?;
         let young = now.saturating_duration_since(known.since) < within;
         young.then(|| Precedence::new(Revision::new(known.era, known.first)))
     }
 
-    /// Whether the operator's entries are known to be whole in this era.
+    /// Whether the operator entries are known to be complete in this era.
     pub fn is_settled(&self) -> bool {
-        self.known.get().is_some_and(|known| known.ground.is_some())
+        self.known
+            .get()
+            .is_some_and(|known| known.evidence.is_some())
     }
 
-    /// Records that other boxes were asked what they know.
+    /// Records that other boxes were queried for what they know.
     pub fn ask(&self) {
-        self.asked.set(true);
+        self.peers_queried.set(true);
     }
 
-    /// Whether a box may serve by what it knows: not one that has just started and has yet
-    /// to hear whether others know more than the store.
+    /// Whether a box may serve with what it knows. A box that has just started may not,
+    /// until it has queried whether other boxes know more than the store.
     pub fn may_begin(&self) -> bool {
         let known = self.known.get();
-        let starts = known.is_some_and(|it| it.ground.is_none() && it.before.in_force.is_none());
-        !starts || self.asked.get()
+        let starts = known.is_some_and(|it| it.evidence.is_none() && it.prior.in_force.is_none());
+        !starts || self.peers_queried.get()
     }
 
-    /// Records that the operator's entries are whole in this era; returns whether that
+    /// Records that the operator entries are complete in this era. Returns whether that
     /// is new.
-    pub fn settle(&self, ground: Evidence) -> bool {
-        let Some(known) = self.known.get().filter(|known| known.ground.is_none()) else {
+    pub fn settle(&self, evidence: Evidence) -> bool {
+        let Some(known) = self.known.get().filter(|known| known.evidence.is_none()) else {
             return false;
         };
-        let ground = Some(ground);
-        self.known.set(Some(Known { ground, ..known }));
+        let evidence = Some(evidence);
+        self.known.set(Some(Observed { evidence, ..known }));
         true
     }
 
-    /// What shows that the operator's entries are whole while the store has this
-    /// configuration and `in_force` is in force.
+    /// Returns the evidence that the operator entries are complete, while the store has
+    /// the configuration `stored` and the version `in_force` is in force.
     pub fn evaluate(
         &self,
         stored: Option<Entry>,
@@ -285,14 +292,14 @@
         let version = stored.map(|entry| entry.version);
         let is_behind = version < in_force;
         let written = stored.is_some_and(|entry| {
-            let ruled_out = known.was_settled && known.before.rules_out(entry);
+            let ruled_out = known.was_settled && known.prior.rules_out(entry);
             ruled_out || self.origin(entry.revision) == Origin::Era
         });
         let age = now.saturating_duration_since(known.since);
-        let is_same = known.before.in_force == version && version == in_force;
+        let is_same = known.prior.in_force == version && version == in_force;
         if written && !is_behind {
             Some(Evidence::Written)
-        } else if is_same && self.asked.get() && age >= waits.stable {
+        } else if is_same && self.peers_queried.get() && age >= waits.stable {
             Some(Evidence::Same)
         } else if age >= waits.rewrite {
             Some(Evidence::Waited)
--- a/crates/relay/src/refusal.rs
+++ b/crates/relay/src/refusal.rs
@@ -1,28 +1,28 @@
-//! Answers of this box's own, from a closed list.
+//! Refusals: answers that the box gives itself, from a closed list.
 //!
-//! Invariant: a kind whose status promises that the request has not run and
-//! never will (503, 408) is used only where that is certain.
+//! Invariant: a kind whose status promises that the request has not run and never will
+//! (503, 408) is used only where that is certain.
 
 use std::fmt;
 use std::time::Duration;
 
-/// When to come back where nothing better is known: long enough for another
-/// box or server to be tried, short against every objective.
-const SOON: Duration = Duration::from_millis(150);
-/// When to come back while no box is any better off: servers that were tried have
-/// no process that would take a connection, or all leave, and a start takes a second
-/// or more; or the operator allows none, or has to write again what the store lost, and
-/// takes seconds for that. Under a third of every deadline, above which clients ignore
-/// it.
-const DOWN: Duration = Duration::from_millis(1_000);
-/// When to come back while this box does not know the configuration: at once,
-/// since a further try reaches another box.
-const UNREADY: Duration = Duration::from_millis(20);
+/// Retry delay where nothing better is known: long enough for another box or server to
+/// be tried, and short compared with every objective.
+const DEFAULT_DELAY: Duration = Duration::from_millis(150);
+/// Retry delay while no other box can serve the request either. This holds if no process
+/// listens at the servers that were tried, or all servers are leaving, because starting
+/// a server takes a second or more. It also holds if the operator allows no server, or
+/// has yet to rewrite what the store lost, which takes seconds. The delay is under a
+/// third of every deadline; clients ignore longer ones.
+const UNAVAILABLE_DELAY: Duration = Duration::from_millis(1_000);
+/// Retry delay while this box does not know the configuration: nearly none, since a
+/// further attempt reaches another box.
+const NOT_READY_DELAY: Duration = Duration::from_millis(20);
 
-/// Why this box answers by itself.
+/// Why this box refuses a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Kind {
-    /// The head or the body's framing is malformed.
+    /// The head or the framing of the body is malformed.
     Malformed,
     /// The head is over the limit.
     HeadTooLarge,
@@ -30,7 +30,7 @@
     BodyTooLarge,
     /// The head or the body did not arrive in time.
     Slow,
-    /// No route takes the path.
+    /// No route matches the path.
     NoRoute,
     /// The API key is missing or unknown.
     NoAccount,
@@ -38,32 +38,34 @@
     NotReady,
     /// The configuration known here may be too old to decide by.
     Stale,
-    /// The same, as the store went back to an older copy and the operator has yet to write
-    /// again what it lost.
+    /// The same, because the store was restored from an older backup and the operator has
+    /// yet to rewrite what it lost.
     Behind,
-    /// No server of the service is known or open.
+    /// No server of the service is known, or none can take a request.
     NoServer,
-    /// All servers of the service say that they leave.
+    /// All servers of the service are leaving.
     Leaving,
-    /// All servers that may be asked want nothing of this box for so much longer.
+    /// All eligible servers requested a back-off of this box; the duration is the retry
+    /// delay.
     BackingOff(Duration),
     /// The operator asked to empty the halls of all servers of the service.
     Emptied,
     /// No server is in a region that the request may not leave.
     NoRegion,
-    /// The servers that may be asked are cold and bear no more of this box.
+    /// The eligible servers are cold and accept no more requests of this box.
     Cold,
-    /// Servers ended under requests of its content; it is refused for so much longer.
+    /// Servers crashed under requests with the same content, which is refused for this
+    /// much longer.
     Crashing(Duration),
-    /// The servers tried refused connections: they are down.
+    /// The servers that were tried refused connections: they are down.
     Down,
-    /// The servers that may be asked are full.
+    /// The eligible servers are full.
     Full,
-    /// Its time ran out before a server ran it.
+    /// The request's time ran out before a server ran it.
     TimeOver,
-    /// Its time ran out while a server may have been running it.
+    /// The request's time ran out while a server may have been running it.
     Late,
-    /// A server may have run it, and its answer is lost.
+    /// A server may have run the request, and its answer is lost.
     Lost,
 }
 
@@ -95,21 +97,21 @@
         }
     }
 
-    /// When the client may come back.
+    /// The delay after which the client should retry.
     pub fn retry_after(self) -> Option<Duration> {
         match self {
-            // The truth: sooner, no box has another answer.
+            // The actual time that is left: before, no box has another answer.
             Kind::Crashing(left) | Kind::BackingOff(left) => Some(left),
-            Kind::NotReady | Kind::Stale => Some(UNREADY),
+            Kind::NotReady | Kind::Stale => Some(NOT_READY_DELAY),
             Kind::Down | Kind::Leaving | Kind::Emptied | Kind::NoRegion | Kind::Behind => {
-                Some(DOWN)
+                Some(UNAVAILABLE_DELAY)
             }
-            Kind::NoServer | Kind::Cold | Kind::Full | Kind::TimeOver => Some(SOON),
+            Kind::NoServer | Kind::Cold | Kind::Full | Kind::TimeOver => Some(DEFAULT_DELAY),
             _ => None,
         }
     }
 
-    /// A short name for answers, logs and metrics.
+    /// The short name for answers, logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Kind::Malformed => "malformed",
