--- a/crates/relay/src/peer/mod.rs
+++ b/crates/relay/src/peer/mod.rs
@@ -1,25 +1,26 @@
-//! What boxes of one hall exchange, so that few of them read the store.
+//! Communication between boxes, which keeps the number of boxes that read the store low.
 //!
-//! Every box is registered in the store ([`registry`]). In each hall the boxes
-//! have an order that all agree on while they know the same boxes; the first
-//! that answers reads the store. The others ask it, or boxes that do so in turn
-//! ([`tree`], [`upstream`]), and are answered when there is something new ([`responder`]). A
-//! box that finds nobody before it in the order reads the store itself, and so
-//! does one whose proof grows old: a dead, frozen or cut off reader costs a moment
-//! and no agreement.
+//! Every box is registered in the store ([`registry`]). The boxes of a hall have a
+//! priority order, on which all agree as long as they know the same boxes; the first box
+//! that answers reads the store. Each other box sends long-poll requests to it, or to a
+//! box that follows it in turn ([`tree`], [`upstream`]), and gets an answer when there is
+//! a change ([`responder`]). A box without a reachable predecessor in the order reads the
+//! store itself, and so does a box that has not got a recent confirmation that its data
+//! is current. A reader that crashed, froze or was cut off therefore costs a short delay
+//! and does not need an election.
 //!
-//! Beside that, and without the store, they tell each other of the requests
-//! that they place ([`traffic`]).
+//! Independently of the store, boxes report to each other the requests that they have in
+//! flight ([`traffic`]).
 //!
-//! A box whose store went back to an older copy asks others what was in force before
-//! ([`recovery`]).
+//! After the store was restored from an older backup, a box asks other boxes for the
+//! state that was in force before ([`recovery`]).
 //!
-//! A box that starts while it does not reach the store asks any others that
-//! its settings name ([`seed`]).
+//! A box that starts while the store is unreachable asks the seed boxes of its settings
+//! ([`seed`]).
 //!
-//! Invariant: a proof passed on never looks younger than it is. It is dated
-//! from when the question was sent, less the age given in the answer, on the
-//! clock of the box that asks.
+//! Invariant: a confirmation that is passed on never looks newer than it is. The
+//! receiving box dates it, on its own clock, to the time at which it sent the request,
+//! less the age given in the answer.
 
 pub mod recovery;
 pub mod registry;
--- a/crates/relay/src/peer/recovery.rs
+++ b/crates/relay/src/peer/recovery.rs
@@ -1,11 +1,12 @@
-//! Asking other boxes what was in force before the store went back to an older copy.
+//! Recovery of the state that was in force before the store was restored from an older
+//! backup.
 //!
-//! A box that reads a store whose operator's entries may not be whole knows what it knew,
-//! or nothing at all if it has just started. Other boxes may know more: a higher version,
-//! a hall that was to be emptied, an order that was rolled back; or that the entries are
-//! whole by now.
+//! While the operator entries in the store may be incomplete, a box knows only what it
+//! knew before, or nothing at all if it has just started. Other boxes may know more: a
+//! higher version of the configuration, an emptied hall, a rollout that was rolled back;
+//! or that the entries are complete by now.
 //!
-//! Invariant: what is heard so is never taken for the store's word.
+//! Invariant: data from other boxes is never treated as data that the store confirmed.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,16 +22,16 @@
 use crate::message::link::{self, Error};
 use crate::message::VERSION;
 
-/// Time between two rounds.
-const ROUND_TIME: Duration = Duration::from_millis(400);
-/// Boxes of the own hall that are asked in a round, ...
-const OWN_HALL: usize = 4;
-/// ... and of each other hall.
-const OTHER_HALL: usize = 2;
+/// Time between two rounds of requests.
+const ROUND_INTERVAL: Duration = Duration::from_millis(400);
+/// Boxes of the own hall that are asked in a round.
+const OWN_HALL_MAX: usize = 4;
+/// Boxes of each other hall that are asked in a round.
+const OTHER_HALL_MAX: usize = 2;
 
-/// Asks others while this box reads a store whose operator's entries may not be whole;
-/// does not end. `registry`: the boxes, if there are others; `seeds`: those that the
-/// settings name.
+/// Asks other boxes while this box reads a store whose operator entries may be
+/// incomplete; never returns. `registry`: the known boxes, if there are others; `seeds`:
+/// the seed boxes of the settings.
 pub async fn run(
     follower: Rc<Follower>,
     registry: Option<Rc<Registry>>,
@@ -40,32 +41,32 @@
     loop {
         follower.wait_until_unsettled().await;
         let others = others(registry.as_deref(), &seeds);
-        let asked = others.into_iter().map(|address| {
+        let requests = others.into_iter().map(|address| {
             let follower = follower.clone();
             executor.spawn(async move {
-                if let Err(error) = ask(&follower, address).await {
+                if let Err(error) = fetch(&follower, address).await {
                     log::debug!(target: "peer", "event=memory_failed address={address} why=\"{error}\"");
                 }
             })
         });
-        let asked: Vec<_> = asked.collect();
-        for answer in asked {
-            answer.await;
+        let requests: Vec<_> = requests.collect();
+        for request in requests {
+            request.await;
         }
         follower.note_recall();
-        Timer::after(ROUND_TIME).await;
+        Timer::after(ROUND_INTERVAL).await;
     }
 }
 
-/// Whom to ask: some of each hall, others in each round.
+/// Addresses to ask: a random choice from each hall, which changes with each round.
 fn others(registry: Option<&Registry>, seeds: &[SocketAddr]) -> Vec<SocketAddr> {
     let mut others = seeds.to_vec();
     let Some(registry) = registry else {
         return others;
     };
     let halls = registry.other_halls().into_iter();
-    let halls = halls.map(|hall| (hall, OTHER_HALL));
-    for (hall, most) in halls.chain([(registry.me.hall.clone(), OWN_HALL)]) {
+    let halls = halls.map(|hall| (hall, OTHER_HALL_MAX));
+    for (hall, most) in halls.chain([(registry.me.hall.clone(), OWN_HALL_MAX)]) {
         let mut members = registry.members_of(&hall);
         members.retain(|member| member.name != registry.me.name);
         fastrand::shuffle(&mut members);
@@ -74,9 +75,9 @@
     others
 }
 
-async fn ask(follower: &Follower, address: SocketAddr) -> Result<(), Error> {
+async fn fetch(follower: &Follower, address: SocketAddr) -> Result<(), Error> {
     let mut conn = link::open(address, CONNECT_TIMEOUT).await?;
-    let ask = Request {
+    let request = Request {
         version: VERSION,
         number: 1,
         document: follower.revision().number(),
@@ -87,9 +88,9 @@
             ..Options::default()
         }),
     };
-    let asked = Instant::now();
-    let answer = upstream::ask_for(&mut conn, &ask).await?;
-    let document = upstream::document(&mut conn, &answer).await?;
-    follower.apply_recalled(&answer, document, asked);
+    let sent_at = Instant::now();
+    let answer = upstream::send_request(&mut conn, &request).await?;
+    let document = upstream::receive_document(&mut conn, &answer).await?;
+    follower.apply_recalled(&answer, document, sent_at);
     Ok(())
 }
--- a/crates/relay/src/peer/registry.rs
+++ b/crates/relay/src/peer/registry.rs
@@ -1,9 +1,9 @@
-//! Which boxes there are, from the store.
+//! Membership: the boxes that are registered in the store.
 //!
-//! Each box has an entry there that says where it is reached and how strong it
-//! is. The entry is bound to a long lease, so that a box that is gone for good
-//! is forgotten; a box that is back within the lease finds its entry and takes
-//! the lease over, which costs no write.
+//! Each box has an entry in the store with its address and its link bandwidth. The entry
+//! is bound to a long lease, so that a box that is gone for good is removed; a box that
+//! restarts within the lease finds its entry and takes the lease over, which needs no
+//! write.
 
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -26,74 +26,75 @@
 use crate::notifier::Notifier;
 use crate::relay::Relay;
 
-/// Where the entries lie in the store.
+/// Key prefix of the entries in the store.
 const PREFIX: &str = "tidepier/boxes/";
-/// Term of an entry's lease: the store's longest. A box is found dead by its
-/// silence, not by its lease.
-const LEASE_TIME: Duration = Duration::from_secs(600);
-/// Time between two renewals: several fit into a term.
-const RENEW_TIME: Duration = Duration::from_secs(180);
-/// Time from one's own entry to the first whole list: boxes that start together
-/// start within 300 ms of each other.
-const FIRST_LIST_TIME: Duration = Duration::from_millis(450);
-/// Time between two lists, once running. Stale ones serve, which cost the store
-/// a tenth.
-const LIST_TIME: Duration = Duration::from_secs(15);
-/// Time over which the reader of one hall spreads its list after the store came back
-/// from an older copy; in multiples of the halls.
-const SPREAD_TIME: Duration = Duration::from_millis(100);
-/// Longest time for one call.
-const CALL_TIME: Duration = Duration::from_millis(1_200);
-/// Pause after a call that failed.
-const PAUSE: Duration = Duration::from_millis(700);
-
-/// How a box is registered.
+/// TTL of an entry's lease: the longest that the store grants. A dead box is detected
+/// because it does not answer, not by its lease.
+const LEASE_TTL: Duration = Duration::from_secs(600);
+/// Time between two renewals of the lease: several fit into the TTL.
+const RENEW_INTERVAL: Duration = Duration::from_secs(180);
+/// Time from writing this box's own entry to the first complete list: boxes that start
+/// together start within 300 ms of each other.
+const FIRST_LIST_DELAY: Duration = Duration::from_millis(450);
+/// Time between two lists of the entries once the box runs. Stale reads suffice, which
+/// cost the store a tenth.
+const LIST_INTERVAL: Duration = Duration::from_secs(15);
+/// Time over which the readers of the halls spread their lists after the store was
+/// restored from an older backup, per hall.
+const SPREAD_PER_HALL: Duration = Duration::from_millis(100);
+/// Time-out of one call to the store.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Pause after a failed call, before jitter.
+const RETRY_DELAY: Duration = Duration::from_millis(700);
+
+/// The registration entry of a box.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Member {
     /// The box.
     pub name: ids::Box,
     /// Its hall.
     pub hall: ids::Hall,
-    /// Where other boxes ask it.
+    /// Address on which it serves requests of other boxes.
     pub address: SocketAddr,
-    /// Bandwidth of its link in Mbit/s: what a reader needs most, since it
-    /// sends whole configurations to its hall.
+    /// Bandwidth of its link in Mbit/s: the resource that a reader needs most, since it
+    /// sends full configurations to its hall.
     pub link_mbps: u32,
 }
 
-/// The boxes, as far as they are known.
+/// The boxes that are known here.
 pub struct Registry {
     /// This box.
     pub me: Member,
     store: Rc<Client>,
     members: RefCell<Vec<Member>>,
-    /// The same as others are told.
-    told: RefCell<boxes::List>,
-    /// When another box of the hall last told of the boxes, or that they are as known.
-    heard: Cell<Option<Instant>>,
-    /// Whether this box is in the list that others tell.
-    present: Cell<bool>,
-    /// Notified when it no longer is.
-    missed: Notifier,
+    /// The list of boxes as it is sent to other boxes.
+    published: RefCell<boxes::List>,
+    /// When another box of the hall last sent the list of boxes, or confirmed the known
+    /// one.
+    last_confirmed: Cell<Option<Instant>>,
+    /// Whether this box is registered, as far as the last list shows.
+    is_registered: Cell<bool>,
+    /// Notified when a list of another box lacks this box.
+    registration_lost: Notifier,
     /// Notified when the store may have lost entries.
-    lost: Notifier,
+    reread_requested: Notifier,
     listed: Cell<bool>,
     /// Whether a call failed before the boxes were listed.
     failed: Cell<bool>,
-    /// Notified when the list changed.
+    /// Notified when the list of boxes changes.
     pub changed: Notifier,
 }
 
 impl Registry {
-    /// A registry that knows this box alone.
+    /// Creates a registry that knows this box only.
     pub fn new(me: Member, store: Rc<Client>) -> Rc<Self> {
         Rc::new(Self {
             members: RefCell::new(vec![me.clone()]),
-            told: RefCell::default(),
-            heard: Cell::new(None),
-            present: Cell::new(true),
-            missed: Notifier::default(),
-            lost: Notifier::default(),
+            published: RefCell::default(),
+            last_confirmed: Cell::new(None),
+            is_registered: Cell::new(true),
+            registration_lost: Notifier::default(),
+            reread_requested: Notifier::default(),
             me,
             store,
             listed: Cell::new(false),
@@ -112,39 +113,41 @@
         self.failed.get()
     }
 
-    /// Boxes of this hall that come before this one, the first one first.
+    /// Boxes of this hall that precede this one in the order, the first of the order
+    /// first.
     pub fn predecessors(&self) -> Vec<Member> {
-        let mine = order(&self.me);
+        let own_key = priority_key(&self.me);
         let mut members = self.members_of(&self.me.hall);
-        members.retain(|member| order(member) < mine);
+        members.retain(|member| priority_key(member) < own_key);
         members
     }
 
-    /// The boxes of this hall that this one asks, the first one that answers.
-    pub fn asked(&self) -> Vec<Member> {
-        let order = self.members_of(&self.me.hall);
-        let links: Vec<u32> = order.iter().map(|member| member.link_mbps).collect();
-        let me = order.iter().position(|it| it.name == self.me.name);
+    /// Upstream boxes of this one in order of preference; the first that answers is used.
+    pub fn upstream_candidates(&self) -> Vec<Member> {
+        let members = self.members_of(&self.me.hall);
+        let links: Vec<u32> = members.iter().map(|member| member.link_mbps).collect();
+        let me = members.iter().position(|it| it.name == self.me.name);
         let places = me.map_or_else(Vec::new, |me| tree::upstream_candidates(&links, me));
         places
             .into_iter()
-            .map(|place| order[place].clone())
+            .map(|place| members[place].clone())
             .collect()
     }
 
-    /// What stands for the list that is known here.
+    /// Digest of the list of boxes that is known here.
     pub fn digest(&self) -> boxes::Digest {
-        self.told.borrow().digest
+        self.published.borrow().digest
     }
 
-    /// The list, for a box that knows another one.
+    /// The list of boxes, unless the requesting box already knows it, as its digest
+    /// shows.
     pub fn list_for(&self, known: boxes::Digest) -> Option<boxes::List> {
-        let told = self.told.borrow();
-        let differs = told.digest != boxes::Digest::default() && told.digest != known;
-        differs.then(|| told.clone())
+        let published = self.published.borrow();
+        let differs = published.digest != boxes::Digest::default() && published.digest != known;
+        differs.then(|| published.clone())
     }
 
-    /// Takes over the boxes as another box of this hall tells them.
+    /// Applies a list of boxes that another box of this hall sent.
     pub fn apply_list(&self, relay: &Relay, list: &boxes::List) {
         let rows = list.halls.iter().flat_map(|(hall, rows)| {
             rows.iter().map(|row| Member {
@@ -156,31 +159,32 @@
         });
         let mut members: Vec<Member> = rows.collect();
         let mine = members.iter().find(|member| member.name == self.me.name);
-        let present = mine == Some(&self.me);
-        if self.present.replace(present) && !present {
-            self.missed.notify();
+        let is_registered = mine == Some(&self.me);
+        if self.is_registered.replace(is_registered) && !is_registered {
+            self.registration_lost.notify();
         }
-        // A list from before this box was registered is older than what it read itself.
-        if present || !self.listed.get() {
+        // A list without this box may be older than the one that this box read itself.
+        if is_registered || !self.listed.get() {
             members.retain(|member| member.name != self.me.name);
             members.push(self.me.clone());
             self.take(relay, members);
         }
-        // Whoever asks this box is told what this one was told.
-        *self.told.borrow_mut() = list.clone();
+        // Downstream boxes get the same list.
+        *self.published.borrow_mut() = list.clone();
     }
 
-    /// Records that another box of this hall told of the boxes, or that they are as
-    /// known.
-    pub fn heard(&self, now: Instant) {
-        self.heard.set(Some(now));
+    /// Records that another box of this hall sent the list of boxes or confirmed the
+    /// known one.
+    pub fn record_confirmation(&self, now: Instant) {
+        self.last_confirmed.set(Some(now));
     }
 
-    /// Whether others tell this box of the boxes, so that it need not read them.
-    fn is_told(&self) -> bool {
-        let heard = self.heard.get();
+    /// Whether this box regularly gets the list from other boxes, so that it need not
+    /// read it.
+    fn is_kept_current(&self) -> bool {
+        let last_confirmed = self.last_confirmed.get();
         let known = self.digest() != boxes::Digest::default();
-        known && heard.is_some_and(|at| at.elapsed() < LIST_TIME)
+        known && last_confirmed.is_some_and(|at| at.elapsed() < LIST_INTERVAL)
     }
 
     /// The halls of other boxes, without this box's own.
@@ -193,98 +197,101 @@
             .collect()
     }
 
-    /// Boxes of a hall in their order.
+    /// Boxes of a hall in priority order.
     pub fn members_of(&self, hall: &ids::Hall) -> Vec<Member> {
         let members = self.members.borrow();
         let same_hall = members.iter().filter(|member| member.hall == *hall);
         let mut same_hall: Vec<Member> = same_hall.cloned().collect();
-        same_hall.sort_by_key(order);
+        same_hall.sort_by_key(priority_key);
         same_hall
     }
 
-    /// Registers this box and keeps the list; does not end.
+    /// Registers this box, renews its lease and refreshes the list of boxes; never
+    /// returns.
     pub async fn maintain(self: Rc<Self>, relay: Rc<Relay>) {
-        let mut lease = self.start(&relay).await;
+        let mut lease = self.register_first(&relay).await;
         let mut renewed = Instant::now();
         if self.predecessors().is_empty() {
-            // It tells the others, and nobody tells it.
-            if let Err(failure) = self.list(&relay, Whose::All, false).await {
-                note(&failure, "list");
+            // The first box of a hall sends the list to the others, and gets it from
+            // nobody.
+            if let Err(failure) = self.list(&relay, ListScope::All, false).await {
+                log_failure(&failure, "list");
             }
         }
         loop {
             let next = async {
-                tidepier_clock::sleep(LIST_TIME).await;
+                tidepier_clock::sleep(LIST_INTERVAL).await;
                 false
             };
-            let missed = async {
-                self.missed.wait().await;
+            let registration_lost = async {
+                self.registration_lost.wait().await;
                 false
             };
-            let lost = async {
-                self.lost.wait().await;
+            let reread_requested = async {
+                self.reread_requested.wait().await;
                 true
             };
-            if next.or(missed).or(lost).await {
-                self.spread().await;
+            if next.or(registration_lost).or(reread_requested).await {
+                self.wait_for_turn().await;
                 self.reread(&relay).await;
             }
-            match self.look(&relay).await {
+            match self.check_registration(&relay).await {
                 Ok(found) => lease = found.unwrap_or(lease),
-                Err(failure) => note(&failure, "list"),
+                Err(failure) => log_failure(&failure, "list"),
             }
-            if renewed.elapsed() >= RENEW_TIME {
+            if renewed.elapsed() >= RENEW_INTERVAL {
                 renewed = Instant::now();
                 self.renew(lease).await;
             }
         }
     }
 
-    /// Has the boxes be read again, as the store may have lost entries.
+    /// Requests that the entries be read again, since the store may have lost some.
     pub fn request_reread(&self) {
-        self.lost.notify();
+        self.reread_requested.notify();
     }
 
-    /// Waits so that the readers of all halls do not call at once.
-    async fn spread(&self) {
+    /// Waits for a random time so that the readers of all halls do not call the store at
+    /// once.
+    async fn wait_for_turn(&self) {
         let halls = self.other_halls().len() as u32 + 1;
-        Timer::after(SPREAD_TIME.mul_f64(fastrand::f64() * f64::from(halls))).await;
+        Timer::after(SPREAD_PER_HALL.mul_f64(fastrand::f64() * f64::from(halls))).await;
     }
 
-    /// Reads the boxes if nobody tells them to this one: it tells the others of its hall,
-    /// and those that are missing there register again.
+    /// Reads the entries if this box is the first of its hall: it sends the list to the
+    /// others of its hall, and those that are missing in it register again.
     async fn reread(&self, relay: &Relay) {
         if !self.predecessors().is_empty() {
             return;
         }
-        match self.list(relay, Whose::All, false).await {
-            Ok(lease) => self.present.set(lease.is_some()),
-            Err(failure) => note(&failure, "list"),
+        match self.list(relay, ListScope::All, false).await {
+            Ok(lease) => self.is_registered.set(lease.is_some()),
+            Err(failure) => log_failure(&failure, "list"),
         }
     }
 
-    /// Looks whether the boxes changed and this one is among them, and registers it again
-    /// if not: the lease ran out, as when the store was down. Returns the lease of its
-    /// entry if that is another one.
-    async fn look(&self, relay: &Relay) -> Result<Option<LeaseId>, Failure> {
-        if !self.is_told() {
-            let lease = self.list(relay, Whose::All, true).await?;
-            self.present.set(lease.is_some());
+    /// Refreshes the list unless other boxes send it, and registers this box again if its
+    /// entry is missing because its lease expired, for example while the store was down.
+    /// Returns the lease of the box's entry if it differs from the known one.
+    async fn check_registration(&self, relay: &Relay) -> Result<Option<LeaseId>, Failure> {
+        if !self.is_kept_current() {
+            let lease = self.list(relay, ListScope::All, true).await?;
+            self.is_registered.set(lease.is_some());
             if lease.is_some() {
                 return Ok(lease);
             }
         }
-        if self.present.get() {
+        if self.is_registered.get() {
             return Ok(None);
         }
-        // The list may be from before this box was registered.
-        let entry = self.store.get(&self.key(), CALL_TIME).await?.value;
+        // The list may be older than this box's registration.
+        let entry = self.store.get(&self.key(), CALL_TIMEOUT).await?.value;
         let entry = entry.filter(|item| self.is_mine(item));
         let lease = match entry.and_then(|item| item.lease) {
             Some(lease) => lease,
             None => self.register().await?,
         };
-        self.present.set(true);
+        self.is_registered.set(true);
         Ok(Some(lease))
     }
 
@@ -294,52 +301,53 @@
     }
 
     async fn renew(&self, lease: LeaseId) {
-        match self.store.renew(lease, CALL_TIME).await {
+        match self.store.renew(lease, CALL_TIMEOUT).await {
             Ok(LeaseState::For(_)) => {}
             Ok(LeaseState::Gone) => log::warn!(target: "belief", "event=lease_over"),
-            Err(failure) => note(&failure, "keep"),
+            Err(failure) => log_failure(&failure, "keep"),
         }
     }
 
-    async fn start(&self, relay: &Relay) -> LeaseId {
+    async fn register_first(&self, relay: &Relay) -> LeaseId {
         loop {
-            match self.list(relay, Whose::Hall, true).await {
+            match self.list(relay, ListScope::Hall, true).await {
                 Ok(Some(lease)) => {
                     relay.roster.set_listed(Instant::now());
                     return lease;
                 }
                 Ok(None) => {}
-                Err(failure) => self.start_failed(&failure, "list"),
+                Err(failure) => self.first_call_failed(&failure, "list"),
             }
             match self.register().await {
                 Ok(lease) => {
                     relay.roster.set_unlisted(Instant::now());
-                    Timer::after(FIRST_LIST_TIME).await;
-                    while let Err(failure) = self.list(relay, Whose::Hall, false).await {
-                        note(&failure, "list");
-                        rest().await;
+                    Timer::after(FIRST_LIST_DELAY).await;
+                    while let Err(failure) = self.list(relay, ListScope::Hall, false).await {
+                        log_failure(&failure, "list");
+                        wait_for_retry().await;
                     }
                     return lease;
                 }
-                Err(failure) => self.start_failed(&failure, "register"),
+                Err(failure) => self.first_call_failed(&failure, "register"),
             }
-            rest().await;
+            wait_for_retry().await;
         }
     }
 
-    fn start_failed(&self, failure: &Failure, call: &str) {
+    fn first_call_failed(&self, failure: &Failure, call: &str) {
         self.failed.set(true);
-        note(failure, call);
+        log_failure(failure, call);
     }
 
-    /// Entries of a hall lie together: a box that starts needs those of its own hall
-    /// only, and a list of all for each of them would grow by the square.
+    /// The entries of a hall share a prefix: a starting box needs only those of its own
+    /// hall, and if each box listed all entries, the cost would grow with the square of
+    /// the boxes.
     fn key(&self) -> String {
         format!("{PREFIX}{}/{}", self.me.hall, self.me.name)
     }
 
     async fn register(&self) -> Result<LeaseId, Failure> {
-        let lease = self.store.lease(LEASE_TIME, CALL_TIME).await?.id;
+        let lease = self.store.lease(LEASE_TTL, CALL_TIMEOUT).await?.id;
         let value = serde_json::to_vec(&self.me);
         let value = value.map_err(|error| Failure::Malformed(error.to_string()))?;
         let key = self.key();
@@ -348,7 +356,7 @@
             value: &value,
             lease: Some(lease),
         };
-        match self.store.swap(&[], &[write], &[], CALL_TIME).await? {
+        match self.store.swap(&[], &[write], &[], CALL_TIMEOUT).await? {
             Swap::Done(revision) => {
                 log::info!(target: "belief", "event=registered revision={revision}");
                 Ok(lease)
@@ -359,19 +367,19 @@
         }
     }
 
-    /// Reads the boxes; returns the lease of this box's own entry, if that is
-    /// as it should be.
+    /// Reads the entries; returns the lease of this box's own entry if the entry is as
+    /// expected.
     async fn list(
         &self,
         relay: &Relay,
-        whose: Whose,
+        whose: ListScope,
         stale: bool,
     ) -> Result<Option<LeaseId>, Failure> {
         let prefix = match whose {
-            Whose::Hall => format!("{PREFIX}{}/", self.me.hall),
-            Whose::All => PREFIX.to_owned(),
+            ListScope::Hall => format!("{PREFIX}{}/", self.me.hall),
+            ListScope::All => PREFIX.to_owned(),
         };
-        let read = self.store.list(&prefix, stale, CALL_TIME).await?;
+        let read = self.store.list(&prefix, stale, CALL_TIMEOUT).await?;
         let mut mine = None;
         let mut members = vec![self.me.clone()];
         for item in &read.value {
@@ -386,13 +394,13 @@
                 ),
             }
         }
-        // A stale list may be from before anybody registered.
+        // A stale list may be from before any box registered.
         if stale && mine.is_none() && !self.listed.get() {
             return Ok(None);
         }
         self.take(relay, members);
-        if whose == Whose::All {
-            *self.told.borrow_mut() = list(&self.members.borrow());
+        if whose == ListScope::All {
+            *self.published.borrow_mut() = list(&self.members.borrow());
         }
         Ok(mine)
     }
@@ -413,20 +421,20 @@
     }
 }
 
-/// Whose entries are read.
+/// The entries that a list covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Whose {
-    /// Those of this box's hall.
+enum ListScope {
+    /// Entries of this box's hall.
     Hall,
-    /// All.
+    /// Entries of all halls.
     All,
 }
 
-async fn rest() {
-    Timer::after(PAUSE.mul_f64(0.5 + fastrand::f64())).await;
+async fn wait_for_retry() {
+    Timer::after(RETRY_DELAY.mul_f64(0.5 + fastrand::f64())).await;
 }
 
-/// Boxes, which are sorted by their names, as others are told.
+/// The list of boxes as it is sent to others; `members` are sorted by name.
 fn list(members: &[Member]) -> boxes::List {
     let mut halls: BTreeMap<ids::Hall, Vec<boxes::Row>> = BTreeMap::new();
     let mut hash = Xxh3::new();
@@ -446,21 +454,22 @@
         halls.entry(hall).or_default().push(row);
     }
     boxes::List {
-        // 0 stands for no list.
+        // 0 means that there is no list.
         digest: boxes::Digest(hash.digest().max(1)),
         halls: halls.into_iter().collect(),
     }
 }
 
-/// The order of the boxes of a hall: the strongest link first.
-fn order(member: &Member) -> (Reverse<u32>, u64) {
+/// Sort key of the priority order of a hall's boxes: the box with the strongest link
+/// first.
+fn priority_key(member: &Member) -> (Reverse<u32>, u64) {
     (
         Reverse(member.link_mbps),
         xxh3_64(member.name.as_str().as_bytes()),
     )
 }
 
-fn note(failure: &Failure, call: &str) {
+fn log_failure(failure: &Failure, call: &str) {
     log::info!(
         target: "belief",
         "event=store_call_failed call=boxes_{call} why={} detail=\"{failure}\"",
--- a/crates/relay/src/peer/responder.rs
+++ b/crates/relay/src/peer/responder.rs
@@ -1,7 +1,7 @@
-//! Answering the boxes that ask this one.
+//! Serves the requests of other boxes.
 //!
-//! Invariant: what others do at this port costs no more than so many
-//! connections, each with so many bytes, and none is waited for without limit.
+//! Invariant: clients of this port can use only a bounded number of connections, each
+//! with requests of bounded size, and every wait for them has a time-out.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,33 +21,33 @@
 use crate::traffic::log::Peer;
 use crate::traffic::Traffic;
 
-/// An answer that a box does not take for so long ends the connection.
-const UNACKED_TIME: Duration = Duration::from_secs(2);
-/// Most connections at once: two of each box of the largest hall that is tried
-/// (some 330, of 1,000 boxes in 3 halls; 60 of the 350 in 6 halls that designs
-/// are made for), and some that did not notice that their connection broke, or
-/// that start elsewhere.
+/// A connection is closed if the other box does not acknowledge sent data for this time.
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(2);
+/// Most connections at once: two from each box of the largest hall that is tested (about
+/// 330 boxes, of 1,000 boxes in 3 halls; designs are made for 350 boxes in 6 halls, 60
+/// boxes a hall), and some from boxes that did not notice that their connection broke, or
+/// that use this box as a seed.
 pub const CONNECTIONS_MAX: usize = 768;
-/// Longest time from a message's first byte to its last: a question is a few
-/// KB, and its asker gives up after a third of a second.
+/// Longest time from the first byte of a request to its last: a request is a few KB, and
+/// its sender gives up after a third of a second.
 pub const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest question in bytes: counts of 9,000 servers at some 30 bytes each, ten
+/// Largest request in bytes: the counts of 9,000 servers at about 30 bytes each, ten
 /// times the fleet that designs are made for.
 pub const REQUEST_BYTES_MAX: usize = 256 << 10;
-/// Rest after which a box that asks nothing more counts as gone: they ask
-/// every 0.4 s, and one that froze for so long starts anew anyway.
-const REST_TIME: Duration = Duration::from_secs(15);
-/// Longest time to send an answer and a configuration: twice as long as the box
-/// that asked waits for it.
-const ANSWER_TIME: Duration = Duration::from_secs(4);
-/// Longest time that a question waits here for something new.
+/// Idle time after which a box counts as gone: boxes send a request every 0.4 s, and a
+/// box that froze for this long starts over anyway.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Longest time to send an answer and a configuration: twice as long as the requesting
+/// box waits for them.
+const SEND_TIMEOUT: Duration = Duration::from_secs(4);
+/// Longest time that a long-poll request is held.
 const HOLD_MAX: Duration = Duration::from_secs(2);
-/// Time in which further changes are gathered into an answer.
-const GATHER_TIME: Duration = Duration::from_millis(5);
-/// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Time for which further changes are collected into one answer.
+const GATHER_DELAY: Duration = Duration::from_millis(5);
+/// Pause after accepting a connection failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Serves boxes that ask; does not end.
+/// Serves the requests of other boxes; never returns.
 pub async fn serve(
     listener: Listener,
     follower: Rc<Follower>,
@@ -56,46 +56,50 @@
 ) {
     let open = Rc::new(());
     loop {
-        match listener.accept(UNACKED_TIME).await {
-            // The list itself holds one count.
+        match listener.accept(UNACKED_TIMEOUT).await {
+            // One reference belongs to this function itself.
             Ok(_) if Rc::strong_count(&open) > CONNECTIONS_MAX => {
                 log::warn!(target: "peer", "event=asker_refused why=crowded most={CONNECTIONS_MAX}");
             }
             Ok(conn) => {
                 let (follower, registry) = (follower.clone(), registry.clone());
-                let counted = open.clone();
-                let talk = async move {
-                    if let Err(error) = converse(conn, &follower, &registry).await {
+                let open_connection = open.clone();
+                let serving = async move {
+                    if let Err(error) = serve_connection(conn, &follower, &registry).await {
                         log::debug!(target: "peer", "event=asker_lost why=\"{error}\"");
                     }
-                    drop(counted);
+                    drop(open_connection);
                 };
-                executor.spawn(talk).detach();
+                executor.spawn(serving).detach();
             }
             Err(error) => {
                 log::warn!(target: "peer", "event=accept_failed why=\"{error}\"");
-                Timer::after(ACCEPT_PAUSE).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn converse(mut conn: Conn, follower: &Follower, registry: &Registry) -> Result<(), Error> {
+async fn serve_connection(
+    mut conn: Conn,
+    follower: &Follower,
+    registry: &Registry,
+) -> Result<(), Error> {
     let relay = follower.relay();
-    let member = Member {
+    let connection = Connection {
         traffic: &relay.traffic,
         number: relay.traffic.next_member_number(),
     };
-    let mut end = traffic::End::default();
-    // What the other was told last, as a count of changes.
-    let mut told = None;
+    let mut session = traffic::Session::default();
+    // The count of changes that the last answer included.
+    let mut last_sent = None;
     loop {
         match receive(&mut conn).await? {
-            PeerRequest::Follow(ask) => {
-                check(ask.version)?;
-                let held = hold(follower, &ask, told).await;
-                told = Some(follower.change_count());
-                let (answer, document) = answer(follower, registry, &ask, held);
+            PeerRequest::Follow(request) => {
+                check_version(request.version)?;
+                let held = hold_request(follower, &request, last_sent).await;
+                last_sent = Some(follower.change_count());
+                let (answer, document) = answer(follower, registry, &request, held);
                 let send = async {
                     link::send(&conn, &answer).await?;
                     match document {
@@ -103,50 +107,50 @@
                         None => Ok(()),
                     }
                 };
-                link::within(ANSWER_TIME, send).await?;
+                link::within(SEND_TIMEOUT, send).await?;
             }
-            PeerRequest::Traffic(ask) => {
-                check(ask.version)?;
-                let answer = end.answer(relay, member.number, ask);
-                link::within(ANSWER_TIME, link::send(&conn, &answer)).await?;
+            PeerRequest::Traffic(request) => {
+                check_version(request.version)?;
+                let answer = session.answer(relay, connection.number, request);
+                link::within(SEND_TIMEOUT, link::send(&conn, &answer)).await?;
             }
-            PeerRequest::Recall(ask) => {
-                check(ask.version)?;
-                let answer = recalled(&relay.traffic);
-                link::within(ANSWER_TIME, link::send(&conn, &answer)).await?;
+            PeerRequest::Recall(request) => {
+                check_version(request.version)?;
+                let answer = cached_parts(&relay.traffic);
+                link::within(SEND_TIMEOUT, link::send(&conn, &answer)).await?;
             }
         }
     }
 }
 
-fn check(version: u16) -> Result<(), Error> {
+fn check_version(version: u16) -> Result<(), Error> {
     if version != VERSION {
         return Err(Error::Malformed(format!("version {version}")));
     }
     Ok(())
 }
 
-/// The next question. One that has not begun may take as long as a box rests;
-/// one that has begun has to come whole.
+/// Receives the next request. The connection may be idle for `IDLE_TIMEOUT` before it;
+/// once it has begun, it has to arrive within `MESSAGE_TIMEOUT`.
 async fn receive(conn: &mut Conn) -> Result<PeerRequest, Error> {
-    link::within(REST_TIME, link::begun(conn)).await?;
+    link::within(IDLE_TIMEOUT, link::begun(conn)).await?;
     link::within(MESSAGE_TIMEOUT, link::receive_most(conn, REQUEST_BYTES_MAX)).await
 }
 
-/// A box that asks; its report is forgotten when it no longer does.
-struct Member<'a> {
+/// A connected box; its report is discarded when the connection ends.
+struct Connection<'a> {
     traffic: &'a Traffic,
     number: u64,
 }
 
-impl Drop for Member<'_> {
+impl Drop for Connection<'_> {
     fn drop(&mut self) {
         self.traffic.remove_peer(&Peer::Member(self.number));
     }
 }
 
-/// What is known here of what engines keep.
-fn recalled(traffic: &Traffic) -> recall::Answer {
+/// The answer to a request for the cached prompt parts known here.
+fn cached_parts(traffic: &Traffic) -> recall::Answer {
     recall::Answer {
         version: VERSION,
         progress: traffic.progress(),
@@ -154,81 +158,87 @@
     }
 }
 
-/// Lets a question wait until something is new, or until this box can vouch for what it
-/// knows; returns for how long. `told`: what the other was told last.
-async fn hold(follower: &Follower, ask: &Request, told: Option<u64>) -> Duration {
-    let Some(more) = &ask.options else {
+/// Holds a long-poll request until there is a change and this box can confirm that its
+/// data is current; returns for how long it was held. `last_sent`: the count of changes that the last
+/// answer included.
+async fn hold_request(follower: &Follower, request: &Request, last_sent: Option<u64>) -> Duration {
+    let Some(options) = &request.options else {
         return Duration::ZERO;
     };
     let start = Instant::now();
-    let limit = Duration::from_millis(more.wait_ms.into()).min(HOLD_MAX);
-    let news = async {
-        let is_new = || told != Some(follower.change_count());
-        while !is_new() || !vouches(follower, ask) {
+    let limit = Duration::from_millis(options.wait_ms.into()).min(HOLD_MAX);
+    let change = async {
+        let is_new = || last_sent != Some(follower.change_count());
+        while !is_new() || !is_confirmed(follower, request) {
             follower.news().await;
         }
-        // Further changes come with the first one.
-        Timer::after(GATHER_TIME).await;
+        // Collects further changes that follow shortly.
+        Timer::after(GATHER_DELAY).await;
     };
-    if more.after.is_none() && limit > Duration::ZERO {
-        timeout::within(limit, news).await;
+    if options.after.is_none() && limit > Duration::ZERO {
+        timeout::within(limit, change).await;
     }
     start.elapsed()
 }
 
-/// Whether this box can vouch for what it knows. One that knows no eras takes that for a
-/// proof that the configuration is the newest.
-fn vouches(follower: &Follower, ask: &Request) -> bool {
+/// Whether this box can confirm that its data is current. A requesting box that does not
+/// know eras takes such a confirmation as proof that the configuration is the newest, so
+/// it gets one only when that is proven.
+fn is_confirmed(follower: &Follower, request: &Request) -> bool {
     let now = Instant::now();
-    let knows_eras = ask
+    let knows_eras = request
         .options
         .as_ref()
-        .is_some_and(|more| more.in_force.is_some());
+        .is_some_and(|options| options.in_force.is_some());
     match knows_eras {
         true => follower.advertised_status(now).followed_ms.is_some(),
         false => follower.shareable_age(now).is_some(),
     }
 }
 
-/// What a box is told that has got nothing which this one can vouch for.
-fn nothing(ask: &Request) -> (Servers, Position) {
-    (Servers::Changes(Vec::new()), ask.position)
+/// The servers and position for a requesting box that gets nothing because this box
+/// cannot confirm its data, or because it wants only the operator entries.
+fn no_servers(request: &Request) -> (Servers, Position) {
+    (Servers::Changes(Vec::new()), request.position)
 }
 
-/// The answer to a question that waited for so long, and the configuration's entry that
+/// The answer to a request that was held for `held`, and the configuration document that
 /// follows it.
 fn answer(
     follower: &Follower,
     registry: &Registry,
-    ask: &Request,
+    request: &Request,
     held: Duration,
 ) -> (Answer, Option<Rc<[u8]>>) {
     let now = Instant::now();
-    let vouches = vouches(follower, ask);
-    let operator_only = ask.options.as_ref().is_some_and(|more| more.operator_only);
-    let document = match &ask.options {
-        // Nothing of it would be taken.
-        Some(_) if !vouches && !operator_only => None,
-        _ => follower.document_for(ask),
+    let is_confirmed = is_confirmed(follower, request);
+    let operator_only = request
+        .options
+        .as_ref()
+        .is_some_and(|options| options.operator_only);
+    let document = match &request.options {
+        // The requesting box would not apply any of it.
+        Some(_) if !is_confirmed && !operator_only => None,
+        _ => follower.document_for(request),
     };
-    let (servers, position) = match &ask.options {
-        None => follower.servers_after(ask.position),
-        Some(_) if !vouches || operator_only => nothing(ask),
-        Some(more) => {
+    let (servers, position) = match &request.options {
+        None => follower.servers_after(request.position),
+        Some(_) if !is_confirmed || operator_only => no_servers(request),
+        Some(options) => {
             let place = Cursor {
-                position: ask.position,
-                after: more.after.clone(),
-                complete_revision: more.whole(),
+                position: request.position,
+                after: options.after.clone(),
+                complete_revision: options.whole(),
             };
             let (part, position) = follower.servers_part(&place);
             (Servers::Part(part), position)
         }
     };
-    let boxes = ask.options.as_ref().filter(|_| vouches);
-    let boxes = boxes.and_then(|more| registry.list_for(more.boxes));
+    let boxes = request.options.as_ref().filter(|_| is_confirmed);
+    let boxes = boxes.and_then(|options| registry.list_for(options.boxes));
     let answer = Answer {
         version: VERSION,
-        number: ask.number,
+        number: request.number,
         age_ms: follower.shareable_age(now).map(as_ms),
         known_ms: follower.confirmed_age(now).map(as_ms),
         revision: follower.revision().number(),
@@ -238,14 +248,14 @@
         rollouts: Some(follower.relay().rollouts.list(now)),
         servers,
         position,
-        // Rounded down, so that a proof never looks younger.
+        // Rounded down, so that a confirmation never looks newer than it is.
         held_ms: held.as_millis() as u64,
         boxes,
     };
     (answer, document)
 }
 
-/// Rounded up, so that a proof never looks younger.
+/// Rounded up, so that a confirmation never looks newer than it is.
 fn as_ms(age: Duration) -> u64 {
     age.as_millis() as u64 + 1
 }
--- a/crates/relay/src/peer/tree.rs
+++ b/crates/relay/src/peer/tree.rs
@@ -1,35 +1,37 @@
-//! Which box of its hall a box asks.
+//! Distribution tree of a hall: which box gets its updates from which other box.
 //!
-//! One box that sends a list of all servers to its whole hall takes a time that grows
-//! with boxes times servers: 200 boxes before 10,000 servers are 70 MB, 3 s of the
-//! strongest link and 30 s of a weak one. So boxes pass on to as many others as their
-//! links bear, and the list is known everywhere a few such times after the first box
-//! has it.
+//! If one box sends the list of all servers to its whole hall, the time grows with boxes
+//! times servers: 200 boxes and 10,000 servers are 70 MB, which take 3 s on the strongest
+//! link and 30 s on a weak one. Boxes therefore forward the list to as many others as
+//! their links allow, and the list is known everywhere within a few such hops after the
+//! first box has it.
 //!
-//! Who asks whom follows from the list of boxes: nobody is told, and boxes whose lists
-//! differ for a moment ask a box that they would not ask later, which does no harm.
+//! The tree follows from the list of boxes and needs no messages. Boxes whose lists
+//! differ for a moment may ask a box that they would not ask later, which does no harm.
 //!
-//! Invariant: a box asks only boxes that come before it in the order of its hall, so
-//! that nobody hears its own word.
+//! Invariant: a box asks only boxes that precede it in the order of its hall, so that no
+//! box gets its own data back.
 
-/// Bandwidth that each asker of a box takes of its link, in Mbit/s: a list of 10,000
-/// servers is 0.4 MB, 0.3 s at this.
-const MBPS_EACH: u32 = 10;
-/// Fewest askers of a box, so that a hall of weak boxes is served in few steps.
-const ASKERS_MIN: u32 = 2;
-/// Most askers of a box.
-const ASKERS_MAX: u32 = 64;
-/// Boxes at the beginning of the order that are asked when those on the way to the
-/// first one do not answer: one of them reads the store then.
+/// Link bandwidth reserved for each downstream box, in Mbit/s: a list of 10,000 servers
+/// is 0.4 MB, which take 0.3 s at this rate.
+const MBPS_PER_DOWNSTREAM: u32 = 10;
+/// Fewest downstream boxes of a box, so that a hall of boxes with weak links is served in
+/// few hops.
+const DOWNSTREAM_MIN: u32 = 2;
+/// Most downstream boxes of a box.
+const DOWNSTREAM_MAX: u32 = 64;
+/// Number of boxes behind the first one in the order that are asked when neither it nor
+/// the boxes on the path to it answer: one of them then reads the store.
 const NEXT_READERS: usize = 2;
 
-/// The places of the boxes that a box asks, the first one that answers. `links` are
-/// those of the boxes of its hall in their order, in Mbit/s, and `me` is its own place.
+/// Positions of the upstream boxes of the box at position `me`, in order of preference;
+/// it uses the first that answers. `links` are the bandwidths of the boxes of its hall in
+/// their order, in Mbit/s.
 pub fn upstream_candidates(links: &[u32], me: usize) -> Vec<usize> {
-    let mut places = Vec::new();
-    let mut add = |place: usize| {
-        if place < me && !places.contains(&place) {
-            places.push(place);
+    let mut positions = Vec::new();
+    let mut add = |position: usize| {
+        if position < me && !positions.contains(&position) {
+            positions.push(position);
         }
     };
     let mut at = me;
@@ -38,30 +40,31 @@
         at = parent;
     }
     (1..=NEXT_READERS).for_each(&mut add);
-    // Different ones for different boxes, so that no box has to bear many.
+    // These differ between boxes, so that no box gets many additional downstream boxes.
     let mut at = me / 2;
     while at > 0 {
         add(at);
         at /= 2;
     }
-    places
+    positions
 }
 
-/// The place of the box that the one at a place asks first; `None` for the first one.
-/// Boxes take askers in their order, each as many as its link bears.
-pub fn parent(links: &[u32], place: usize) -> Option<usize> {
-    let mut taken = 1;
-    for (parent, link) in links.iter().enumerate().take(place) {
-        taken += askers(*link);
-        if place < taken {
+/// Position of the preferred upstream box of the box at `place`; `None` for the first
+/// box. Boxes are assigned downstream boxes in their order, each as many as its link
+/// allows.
+pub fn parent(links: &[u32], position: usize) -> Option<usize> {
+    let mut assigned = 1;
+    for (parent, link) in links.iter().enumerate().take(position) {
+        assigned += downstream_count(*link);
+        if position < assigned {
             return Some(parent);
         }
     }
     None
 }
 
-/// How many boxes ask a box with such a link.
-fn askers(link_mbps: u32) -> usize {
-    let most = link_mbps / MBPS_EACH;
-    most.clamp(ASKERS_MIN, ASKERS_MAX) as usize
+/// Number of downstream boxes of a box with this bandwidth.
+fn downstream_count(link_mbps: u32) -> usize {
+    let by_link = link_mbps / MBPS_PER_DOWNSTREAM;
+    by_link.clamp(DOWNSTREAM_MIN, DOWNSTREAM_MAX) as usize
 }
