--- a/crates/relay/src/bin/tidepier-relay.rs
+++ b/crates/relay/src/bin/tidepier-relay.rs
@@ -29,7 +29,7 @@
     )
 }
 
-/// Watches the settings from before they are read, so that no later change is
+/// Starts to watch the settings file before reading it, so that no later change is
 /// missed.
 fn read(file: &Path) -> Result<(Settings, io::Result<Requests>), settings::Error> {
     let changes = Requests::watch(file);
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,15 +1,14 @@
-//! The router of an entry box towards clients that speak the dialect of the
-//! users' platform.
+//! The router of an entry box, for clients that use the protocol of the users' platform.
 //!
-//! Clients' requests come in over HTTP/1.1 with opaque bodies; headers say
-//! what is asked. Each request is admitted by the operator's catalog
-//! ([`exchange`]), placed on a backend server ([`choose`]), sent there
-//! ([`attempt`]) and its answer passed on (`exchange/stream`). What the box knows
-//! of catalog and servers comes from the platform's store ([`follow`]).
+//! Clients send requests over HTTP/1.1, with opaque bodies; header fields describe the
+//! request. Each request is checked against the operator's catalog ([`exchange`]) and
+//! placed on a backend server ([`choose`]). The router then forwards it to that server
+//! ([`attempt`]) and passes the answer on (`exchange/stream`). Catalog and servers come
+//! from the platform's store ([`follow`]).
 //!
-//! A process has one thread; its tasks share [`relay::Relay`] and never block.
-//! Names and formats of the wire are those of the `tidepier-platform` crate;
-//! nothing here knows them.
+//! The process has one thread, whose tasks share [`relay::Relay`] and never block. All
+//! names and formats of the platform's protocol are defined in the `tidepier-platform`
+//! crate and unknown to this one.
 
 pub mod attempt;
 pub mod budget;
--- a/crates/relay/src/message/boxes.rs
+++ b/crates/relay/src/message/boxes.rs
@@ -1,20 +1,20 @@
-//! The boxes, as those that read the store tell the others.
+//! The list of boxes, as readers send it to the other boxes.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 use tidepier_ids as ids;
 
-/// Stands for a list of boxes; 0 is no list's.
+/// Digest of a list of boxes; 0 means that there is no list.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest(pub u64);
 
 /// All boxes.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct List {
-    /// What stands for it.
+    /// Digest of the list.
     pub digest: Digest,
-    /// The boxes by halls.
+    /// The boxes, grouped by hall.
     pub halls: Vec<(ids::Hall, Vec<Row>)>,
 }
 
@@ -27,7 +27,7 @@
 pub struct Row {
     /// The box.
     pub name: ids::Box,
-    /// Where other boxes ask it.
+    /// Address on which it serves requests of other boxes.
     pub address: SocketAddr,
     /// Bandwidth of its link in Mbit/s.
     pub link_mbps: u32,
--- a/crates/relay/src/message/follow.rs
+++ b/crates/relay/src/message/follow.rs
@@ -1,4 +1,4 @@
-//! What a box asks the one of its hall that reads the store.
+//! Messages by which a box follows the store through another box of its hall.
 
 use serde::{Deserialize, Serialize};
 use tidepier_core::catalog::Version;
@@ -12,109 +12,110 @@
 use crate::revision_serde;
 use crate::rollout;
 
-/// A question of a box to the one that reads the store.
+/// A request of a box to its upstream box.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Request {
-    /// [`VERSION`](super::VERSION) of the sender.
+    /// Protocol version ([`VERSION`](super::VERSION)) of the sender.
     pub version: u16,
-    /// Comes back in the answer.
+    /// Number of the request, which its answer repeats.
     pub number: u64,
-    /// Number of the revision of the configuration's entry that the sender knows; 0:
-    /// none. One of this form tells its version beside it.
+    /// Number of the revision of the configuration document that the sender knows; 0:
+    /// none. A sender with [`options`](Self::options) also states the version in force.
     pub document: u64,
-    /// Where the sender stands in the other's record of servers.
+    /// Position of the sender in the receiver's change log of servers.
     pub position: Position,
-    /// What a sender of this form asks beyond that; `None`: one of an older form.
+    /// Fields that senders of an older protocol version lack; `None`: the sender is one
+    /// of them.
     #[serde(rename = "more", default, skip_serializing_if = "Option::is_none")]
     pub options: Option<Options>,
 }
 
-/// What a sender that takes servers in parts asks.
+/// The fields of a request from a sender that accepts lists of servers in parts.
 #[derive(Debug, Clone, Default, Serialize, Deserialize, PartialEq)]
 pub struct Options {
-    /// The last server that the sender has got of a list of all; `None`: it is not in
-    /// the midst of one.
+    /// The last server that the sender has received of a full list; `None`: it is not in
+    /// the middle of one.
     pub after: Option<ids::Server>,
-    /// Number of the revision of the store up to which the sender knows all servers; 0:
-    /// it does not.
-    pub whole: u64,
-    /// The era of that revision.
+    /// Number of the store revision as of which the sender's list of servers is complete;
+    /// 0: it is not complete.
+    #[serde(rename = "whole")]
+    pub complete_revision: u64,
+    /// Era of that revision.
     #[serde(default, skip_serializing_if = "revision_serde::is_default_era")]
     pub era: u64,
-    /// The version in force at the sender, 0 where there is none; `None`: the sender
-    /// knows no eras.
+    /// The version in force at the sender, 0 if there is none; `None`: the sender does
+    /// not know eras.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub in_force: Option<u64>,
-    /// Whether the sender asks for what the operator wrote alone.
+    /// Whether the sender wants only the operator entries.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub operator_only: bool,
-    /// The list of boxes that the sender knows.
+    /// Digest of the list of boxes that the sender knows.
     pub boxes: boxes::Digest,
-    /// How long the other may wait for something new before it answers.
+    /// How long the receiver may hold the request until there is a change.
     pub wait_ms: u32,
 }
 
 impl Options {
-    /// Revision of the store up to which the sender knows all servers, if it does.
-    pub fn whole(&self) -> Revision {
-        Revision::new(Era(self.era), self.whole)
+    /// The store revision as of which the sender's list of servers is complete, if it is.
+    pub fn complete_revision(&self) -> Revision {
+        Revision::new(Era(self.era), self.complete_revision)
     }
 }
 
-/// A place in a box's record of changes of servers.
+/// A position in a box's change log of servers.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize, PartialEq, Eq)]
 pub struct Position {
-    /// One life of the record.
+    /// Identifies one instance of the log; a restarted box has a new one.
     pub life: u64,
-    /// Changes so far.
+    /// Number of changes in the log up to this position.
     pub changes: u64,
 }
 
-/// The answer.
+/// The answer to a [`Request`].
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Answer {
-    /// [`VERSION`](super::VERSION) of the sender.
+    /// Protocol version ([`VERSION`](super::VERSION)) of the sender.
     pub version: u16,
-    /// The question's number.
+    /// Number of the request.
     pub number: u64,
-    /// How long ago all in the answer was provably the newest; `None`: the
+    /// How long ago all data in the answer was last confirmed to be current; `None`: the
     /// sender cannot confirm that.
     pub age_ms: Option<u64>,
-    /// How long ago the configuration in the answer was provably the newest,
+    /// How long ago the configuration in the answer was last confirmed to be current,
     /// however long that is; for a box that starts and knows nothing at all.
     #[serde(default)]
     pub known_ms: Option<u64>,
-    /// Number of the revision of the configuration's entry that the sender knows; 0:
+    /// Number of the revision of the configuration document that the sender knows; 0:
     /// none.
     pub revision: u64,
-    /// How far the sender's store is known; `None`: the sender knows no eras.
+    /// The sender's view of the store; `None`: the sender does not know eras.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub standing: Option<Status>,
-    /// Bytes of that entry, which follow this message as they are, where the
-    /// other knows an older one.
+    /// Length of the configuration document, whose bytes follow this message unchanged if
+    /// the receiver knows an older one.
     pub document_bytes: Option<u32>,
-    /// The halls that are to be empty. `None`: a sender of an older form, which
-    /// does not know them.
+    /// The emptied halls. `None`: the sender has an older protocol version without them.
     #[serde(default)]
     pub emptied: Option<emptied_halls::List>,
-    /// The operator's orders to move services. `None`: a sender of an older form, which
-    /// does not know them.
+    /// The operator's orders to move services to another release. `None`: the sender has
+    /// an older protocol version without them.
     #[serde(default)]
     pub rollouts: Option<rollout::List>,
-    /// Servers that have changed.
+    /// Changed servers.
     pub servers: Servers,
-    /// The place after these changes.
+    /// Position in the change log after these changes.
     pub position: Position,
-    /// How long the question waited for this answer.
+    /// How long the request was held before this answer.
     #[serde(default)]
     pub held_ms: u64,
-    /// The boxes, if the other knows another list.
+    /// The list of boxes, if the receiver knows a different one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub boxes: Option<boxes::List>,
 }
 
 impl Answer {
-    /// The same of a sender that knows no eras, as one of this era.
+    /// Assigns an era to all revisions in the answer of a sender that does not know eras.
     pub fn in_era(mut self, era: Era) -> Self {
         self.emptied = self.emptied.map(|list| list.in_era(era));
         self.rollouts = self.rollouts.map(|list| list.in_era(era));
@@ -123,28 +124,29 @@
     }
 }
 
-/// How far the store is known that an answer is from.
+/// The sender's view of the store that an answer is based on.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize, PartialEq, Eq)]
 pub struct Status {
-    /// The era of the store that the answer's revisions are of, unless they tell
-    /// another.
+    /// Era of the store to which the answer's revisions belong unless they state another.
     pub era: u64,
-    /// The lowest number of the store's state that the sender heard of in that era.
+    /// Lowest number of a state of the store that the sender has seen in that era.
     pub first: u64,
-    /// Whether the operator's entries are whole in that era.
+    /// Whether the operator entries are known to be complete in that era.
     pub settled: bool,
     /// The version in force at the sender; 0: there is none.
     pub in_force: u64,
-    /// The version of the entry that the store has; 0: there is none.
+    /// The version of the configuration in the store; 0: there is none.
     pub stored: u64,
-    /// Number of the newest state of the store that is known to have that entry.
+    /// Number of the newest state of the store that is known to contain that
+    /// configuration.
     pub state: u64,
-    /// How long ago the sender knew all that the store held; `None`: it cannot tell.
+    /// How long ago the sender knew everything in the store; `None`: it cannot confirm
+    /// that it did.
     pub followed_ms: Option<u64>,
 }
 
 impl Status {
-    /// The first state of the era that the sender heard of.
+    /// The first state of the era that the sender has seen.
     pub fn first(&self) -> Revision {
         Revision::new(Era(self.era), self.first)
     }
@@ -155,19 +157,19 @@
     }
 }
 
-/// Servers, as far as the other does not know them.
+/// Servers that the receiver does not know yet.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub enum Servers {
-    /// What has changed since the other's place, in order.
+    /// Changes since the receiver's position, in order.
     Changes(Vec<Change>),
-    /// All there are, as of a revision of the store.
+    /// All servers, as of a revision of the store.
     All(Vec<Row>, #[serde(with = "revision_serde::number")] Revision),
-    /// What the other lacks, or the next piece of it.
+    /// What the receiver lacks, or the next piece of a full list.
     Part(Part),
 }
 
 impl Servers {
-    /// The same of a sender that knows no eras, as of this era.
+    /// Assigns an era to all revisions from a sender that does not know eras.
     fn in_era(self, era: Era) -> Self {
         let of_era = |revision: Revision| Revision::new(era, revision.number());
         let row_of_era = |row: Row| {
@@ -190,13 +192,13 @@
     }
 }
 
-/// One change.
+/// A change of one server.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub enum Change {
-    /// A server came or changed.
+    /// A server was added or changed.
     #[serde(rename = "Is")]
     Upserted(Row),
-    /// A server is gone, as of a revision of the store.
+    /// A server was removed, as of a revision of the store.
     #[serde(rename = "Gone")]
     Removed(
         ids::Server,
--- a/crates/relay/src/message/link.rs
+++ b/crates/relay/src/message/link.rs
@@ -1,8 +1,8 @@
-//! Connections between boxes: frames of CBOR, each after its length.
+//! Connections between boxes, which carry CBOR frames, each preceded by its length.
 //!
-//! WebSocket, which the product's own links use, was weighed: its handshake
-//! and masks buy nothing between two boxes of one hall, and its buffers would
-//! be a good part of this process's memory.
+//! WebSocket, which the product's own links use, was considered: its handshake and
+//! masking have no benefit between two boxes of one hall, and its buffers would take a
+//! considerable part of this process's memory.
 
 use std::fmt;
 use std::future::Future;
@@ -16,25 +16,25 @@
 
 use crate::timeout;
 
-/// Bytes of a frame's length.
+/// Length of the prefix that states a frame's length, in bytes.
 const LENGTH_BYTES: usize = 4;
-/// Largest frame in bytes: the store's largest value, with room for servers.
-const FRAME_BYTES: usize = 3 << 20;
-/// Data that another box leaves unacknowledged for so long ends a connection.
-const UNACKED_TIME: Duration = Duration::from_secs(2);
+/// Largest frame in bytes: the largest value of the store, plus room for servers.
+const FRAME_BYTES_MAX: usize = 3 << 20;
+/// A connection is closed if the other box does not acknowledge sent data for this time.
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a frame was not received or sent.
+/// Why a message could not be sent or received, or was of no use.
 #[derive(Debug)]
 pub enum Error {
     /// The connection failed.
     Io(io::Error),
     /// The other side closed the connection.
     Closed,
-    /// The frame is too large or is no message.
+    /// The frame is too large or does not decode as the expected message.
     Malformed(String),
-    /// The other box answers, but cannot confirm that what it knows is current.
+    /// The other box answers, but cannot confirm that its data is current.
     Unconfirmed,
-    /// The other box follows a former era of the store.
+    /// The other box follows an earlier era of the store.
     StaleEra,
 }
 
@@ -44,8 +44,8 @@
             Error::Io(error) => write!(f, "{error}"),
             Error::Closed => f.write_str("closed"),
             Error::Malformed(why) => write!(f, "malformed frame: {why}"),
-            Error::Unconfirmed => f.write_str("it cannot vouch for what it knows"),
-            Error::StaleEra => f.write_str("it follows a former era of the store"),
+            Error::Unconfirmed => f.write_str("it cannot confirm that its data is current"),
+            Error::StaleEra => f.write_str("it follows a stale era of the store"),
         }
     }
 }
@@ -56,9 +56,9 @@
 ///
 /// # Errors
 ///
-/// There is none within `limit`.
+/// No connection was established within `limit`.
 pub(crate) async fn open(address: SocketAddr, limit: Duration) -> Result<Conn, Error> {
-    let conn = Conn::open(address, limit, UNACKED_TIME).await;
+    let conn = Conn::open(address, limit, UNACKED_TIMEOUT).await;
     conn.map_err(Error::Io)
 }
 
@@ -78,7 +78,7 @@
     conn.writer().write_all(&bytes).await.map_err(Error::Io)
 }
 
-/// Waits until a message begins to arrive; takes nothing of it.
+/// Waits until the length prefix of a message has arrived, without consuming it.
 ///
 /// # Errors
 ///
@@ -91,9 +91,9 @@
 ///
 /// # Errors
 ///
-/// The connection failed or was closed, or the frame is no message.
+/// The connection failed or was closed, or the frame does not decode as a `T`.
 pub async fn receive<T: DeserializeOwned>(conn: &mut Conn) -> Result<T, Error> {
-    receive_most(conn, FRAME_BYTES).await
+    receive_limited(conn, FRAME_BYTES_MAX).await
 }
 
 /// Waits for the first byte of a message.
@@ -101,16 +101,20 @@
 /// # Errors
 ///
 /// The connection failed or was closed.
-pub async fn begun(conn: &mut Conn) -> Result<(), Error> {
+pub async fn wait_for_first_byte(conn: &mut Conn) -> Result<(), Error> {
     fill(conn, 1).await
 }
 
-/// Receives a message of at most so many bytes.
+/// Receives a message of at most `most` bytes.
 ///
 /// # Errors
 ///
-/// The connection failed or was closed, or the frame is no message or larger.
-pub async fn receive_most<T: DeserializeOwned>(conn: &mut Conn, most: usize) -> Result<T, Error> {
+/// The connection failed or was closed, or the frame is larger than `most` bytes or does
+/// not decode as a `T`.
+pub async fn receive_limited<T: DeserializeOwned>(
+    conn: &mut Conn,
+    most: usize,
+) -> Result<T, Error> {
     fill(conn, LENGTH_BYTES).await?;
     let mut length = [0; LENGTH_BYTES];
     length.copy_from_slice(&conn.take(LENGTH_BYTES));
@@ -123,7 +127,7 @@
     ciborium::from_reader(bytes.as_slice()).map_err(|error| Error::Malformed(error.to_string()))
 }
 
-/// Sends bytes as they are, after a message that states how many.
+/// Sends raw bytes; a message sent before states how many.
 ///
 /// # Errors
 ///
@@ -133,11 +137,11 @@
     conn.writer().write_all(bytes).await.map_err(Error::Io)
 }
 
-/// The result of `work`.
+/// Awaits `work` for at most `limit`.
 ///
 /// # Errors
 ///
-/// Those of `work`, or `limit` has passed.
+/// The errors of `work`, or a time-out.
 pub(crate) async fn within<T>(
     limit: Duration,
     work: impl Future<Output = Result<T, Error>>,
@@ -146,16 +150,16 @@
     timeout::within(limit, work).await.unwrap_or_else(late)
 }
 
-/// Receives so many bytes as they are.
+/// Receives `count` raw bytes.
 ///
 /// # Errors
 ///
-/// The connection failed or was closed, or these are more than a frame holds.
+/// The connection failed or was closed, or `count` exceeds the largest frame.
 pub async fn receive_bytes(conn: &mut Conn, count: usize) -> Result<Vec<u8>, Error> {
-    if count > FRAME_BYTES {
+    if count > FRAME_BYTES_MAX {
         return Err(Error::Malformed(format!("{count} bytes")));
     }
-    // Taken piece by piece, so that they are not held twice.
+    // Moved out of the buffer as they arrive, so that they are not held in memory twice.
     let mut bytes = Vec::with_capacity(count);
     while bytes.len() < count {
         fill(conn, 1).await?;
--- a/crates/relay/src/message/mod.rs
+++ b/crates/relay/src/message/mod.rs
@@ -1,6 +1,7 @@
-//! Messages between boxes: what they say, and how they are carried.
+//! Messages between boxes and their transport.
 //!
-//! Whoever asks and whoever answers know the messages; no message knows either.
+//! The modules that send and serve requests depend on the messages, never the other way
+//! round.
 
 pub mod boxes;
 pub mod follow;
@@ -12,16 +13,17 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The version of these messages. A box does not talk to one that has another.
+/// Protocol version of these messages. A box does not communicate with a box that has
+/// another version.
 pub const VERSION: u16 = 3;
 
-/// What a box asks another.
+/// A request of a box to another box.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub enum PeerRequest {
-    /// What has changed in the store; answered by [`follow::Answer`].
+    /// Changes in the store; the answer is a [`follow::Answer`].
     Follow(follow::Request),
-    /// Which requests are under way; answered by [`traffic::Answer`].
+    /// Requests in flight; the answer is a [`traffic::Answer`].
     Traffic(traffic::Request),
-    /// Which engines keep which parts; answered by [`recall::Answer`].
+    /// Prompt parts that engines have cached; the answer is a [`recall::Answer`].
     Recall(recall::Request),
 }
--- a/crates/relay/src/message/part.rs
+++ b/crates/relay/src/message/part.rs
@@ -1,8 +1,9 @@
-//! Servers in the form that boxes of this form tell each other.
+//! Compact encoding of lists of servers.
 //!
-//! A list of all is sent in parts, so that one that is lost costs a part and not the
-//! list, and what is under way to one box stays small. What servers have in common is
-//! told once a part: a row takes some 40 bytes, where one with names takes 130.
+//! A full list is sent in parts, so that a connection failure costs one part instead of
+//! the whole list, and the amount of data in transit to one box stays small. Fields that
+//! servers have in common are sent once a part: a row takes about 40 bytes, instead of
+//! 130 with all names.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -15,29 +16,30 @@
 use super::row::{as_ms, Row};
 use crate::revision_serde;
 
-/// Servers, as far as the other does not know them, or the next piece of all.
+/// Servers that the receiver does not know yet, or the next piece of a full list.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Part {
     groups: Vec<Group>,
-    /// Servers that do not fit into a group: at addresses of another kind, or with
-    /// entries of a former era.
+    /// Servers that do not fit into a group because they have IPv6 addresses or entries
+    /// of an earlier era.
     others: Vec<Row>,
-    /// Servers that are gone, each as of a revision of the part's era.
+    /// Removed servers, each as of a revision of the part's era.
     gone: Vec<(ids::Server, u64)>,
-    /// Servers that are gone as of a revision of a former era.
+    /// Removed servers, each as of a revision of an earlier era.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     gone_before: Vec<Gone>,
-    /// Present in a list of all.
+    /// Present if this part is a piece of a full list.
     pub piece: Option<Piece>,
-    /// Revision of the store up to which the sender knows all; 0: it does not.
+    /// Number of the store revision as of which the sender's list of servers is complete;
+    /// 0: it is not complete.
     #[serde(rename = "whole")]
     complete_revision: u64,
-    /// The era of that revision and of the numbers of the other fields.
+    /// Era of that revision and of the revision numbers in the other fields.
     #[serde(default, skip_serializing_if = "revision_serde::is_default_era")]
     era: u64,
 }
 
-/// A server that is gone as of a revision.
+/// A server that was removed as of a revision.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 struct Gone {
     id: ids::Server,
@@ -45,12 +47,12 @@
     revision: Revision,
 }
 
-/// A piece of a list of all servers, which are sorted by their ids.
+/// The position of a piece in a full list of servers, which is sorted by their ids.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Piece {
-    /// Whether the list begins with it.
+    /// Whether this is the first piece.
     pub first: bool,
-    /// The last server of it; `None`: the list ends with this piece.
+    /// The last server of the piece; `None`: this is the last piece.
     pub last: Option<ids::Server>,
 }
 
@@ -60,32 +62,34 @@
     hall: ids::Hall,
     slots: u32,
     release: Option<String>,
-    rows: Vec<Short>,
+    rows: Vec<CompactRow>,
 }
 
-/// Id, address, port, revision, birth, rest of its cold in ms, and whether it leaves.
+/// Id, IPv4 address, port, revision number, start time, remaining cold time in ms, and
+/// whether the server is leaving.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-struct Short(ids::Server, u32, u16, u64, Option<u64>, u32, bool);
+struct CompactRow(ids::Server, u32, u16, u64, Option<u64>, u32, bool);
 
 impl Part {
-    /// A part of one whose sender knows all up to a revision, with these servers.
-    pub fn new(whole: Revision, rows: impl IntoIterator<Item = Row>) -> Self {
+    /// Creates a part with these servers; the sender's list is complete as of the given
+    /// revision.
+    pub fn new(complete_revision: Revision, rows: impl IntoIterator<Item = Row>) -> Self {
         let mut part = Self {
-            complete_revision: whole.number(),
-            era: whole.era().0,
+            complete_revision: complete_revision.number(),
+            era: complete_revision.era().0,
             ..Self::default()
         };
-        let mut places = HashMap::new();
+        let mut group_indexes = HashMap::new();
         for row in rows {
             let ip = match row.address.ip() {
-                IpAddr::V4(ip) if row.revision().era() == whole.era() => ip,
+                IpAddr::V4(ip) if row.revision().era() == complete_revision.era() => ip,
                 _ => {
                     part.others.push(row);
                     continue;
                 }
             };
             let common = (row.service, row.hall, row.slots, row.release);
-            let at = *places.entry(common).or_insert_with_key(|common| {
+            let at = *group_indexes.entry(common).or_insert_with_key(|common| {
                 let (service, hall, slots, release) = common.clone();
                 part.groups.push(Group {
                     service,
@@ -96,7 +100,7 @@
                 });
                 part.groups.len() - 1
             });
-            part.groups[at].rows.push(Short(
+            part.groups[at].rows.push(CompactRow(
                 row.id,
                 ip.to_bits(),
                 row.address.port(),
@@ -109,7 +113,7 @@
         part
     }
 
-    /// The same with servers that are gone, each as of a revision of the store.
+    /// Adds removed servers, each as of a revision of the store.
     pub fn with_gone(mut self, gone: impl IntoIterator<Item = (ids::Server, Revision)>) -> Self {
         for (id, revision) in gone {
             if revision.era() == Era(self.era) {
@@ -121,12 +125,12 @@
         self
     }
 
-    /// Revision of the store up to which the sender knows all, if it does.
+    /// The store revision as of which the sender's list of servers is complete, if it is.
     pub fn complete_revision(&self) -> Revision {
         Revision::new(Era(self.era), self.complete_revision)
     }
 
-    /// Servers that are gone, each as of a revision of the store.
+    /// The removed servers, each as of a revision of the store.
     pub fn gone(&self) -> impl Iterator<Item = (&ids::Server, Revision)> {
         let era = Era(self.era);
         let gone = self.gone.iter();
@@ -135,7 +139,7 @@
         gone.chain(before.map(|gone| (&gone.id, gone.revision)))
     }
 
-    /// The same of a sender that knows no eras, as one of this era.
+    /// Assigns an era to all revisions from a sender that does not know eras.
     pub(super) fn in_era(mut self, era: Era) -> Self {
         self.era = era.0;
         for row in &mut self.others {
@@ -144,34 +148,35 @@
         self
     }
 
-    /// The same as a piece of a list of all.
+    /// Marks the part as a piece of a full list.
     pub fn as_piece(mut self, piece: Piece) -> Self {
         self.piece = Some(piece);
         self
     }
 
-    /// Sets how much longer each server is cold, as of the message.
+    /// Sets the remaining cold time of each server, as of the time at which the message
+    /// is sent.
     pub fn set_cold(&mut self, left: impl Fn(&ids::Server) -> Duration) {
-        let shorts = self.groups.iter_mut().flat_map(|group| &mut group.rows);
-        shorts.for_each(|Short(id, _, _, _, _, cold_ms, _)| *cold_ms = as_ms(left(id)));
+        let rows = self.groups.iter_mut().flat_map(|group| &mut group.rows);
+        rows.for_each(|CompactRow(id, _, _, _, _, cold_ms, _)| *cold_ms = as_ms(left(id)));
         let others = self.others.iter_mut();
         others.for_each(|row| row.set_cold(left(row.id())));
     }
 
-    /// Its servers.
+    /// The servers of the part.
     pub fn rows(&self) -> impl Iterator<Item = Row> + '_ {
         let era = Era(self.era);
         let grouped = self.groups.iter().flat_map(move |group| {
             let rows = group.rows.iter();
-            rows.map(move |short| group.row(short, era))
+            rows.map(move |row| group.row(row, era))
         });
         grouped.chain(self.others.iter().cloned())
     }
 }
 
 impl Group {
-    fn row(&self, short: &Short, era: Era) -> Row {
-        let Short(id, ip, port, number, born, cold_ms, draining) = short;
+    fn row(&self, row: &CompactRow, era: Era) -> Row {
+        let CompactRow(id, ip, port, number, born, cold_ms, draining) = row;
         Row {
             id: id.clone(),
             service: self.service.clone(),
--- a/crates/relay/src/message/recall.rs
+++ b/crates/relay/src/message/recall.rs
@@ -1,24 +1,25 @@
-//! What a box that has started asks others: which engines keep which parts.
+//! Messages by which a started box learns from others which prompt parts engines have
+//! cached.
 
 use serde::{Deserialize, Serialize};
 
 use crate::traffic::index::Entry;
 use crate::traffic::Progress;
 
-/// What a box asks.
+/// A request for the cached prompt parts that the receiver knows.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Request {
-    /// [`VERSION`](super::VERSION) of the sender.
+    /// Protocol version ([`VERSION`](super::VERSION)) of the sender.
     pub version: u16,
 }
 
-/// The answer.
+/// The answer to a [`Request`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
-    /// [`VERSION`](super::VERSION) of the sender.
+    /// Protocol version ([`VERSION`](super::VERSION)) of the sender.
     pub version: u16,
-    /// How much the sender knows.
+    /// How far the sender has recovered its own knowledge.
     pub progress: Progress,
-    /// What is known to be kept.
+    /// Prompt parts known to be cached.
     pub kept: Vec<Entry>,
 }
--- a/crates/relay/src/message/row.rs
+++ b/crates/relay/src/message/row.rs
@@ -1,4 +1,4 @@
-//! One server, as boxes tell it each other.
+//! Wire format of one server.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,19 +18,19 @@
     pub(super) address: SocketAddr,
     pub(super) hall: ids::Hall,
     pub(super) slots: u32,
-    /// The release that it runs, where it tells that.
+    /// The release that the server runs, if its entry states one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(super) release: Option<String>,
     pub(super) draining: bool,
     /// Revision of the server's entry in the store.
     pub(super) revision: u64,
-    /// The era of that revision.
+    /// Era of that revision.
     #[serde(default, skip_serializing_if = "revision_serde::is_default_era")]
     pub(super) era: u64,
-    /// When it started, where it tells that; in ms since 1970.
+    /// When the server started, in ms since 1970, if its entry states that.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub(super) born: Option<u64>,
-    /// How much longer it is cold, in ms, as of the message.
+    /// Remaining cold time in ms, as of the time at which the message was sent.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub(super) cold_ms: u32,
 }
@@ -41,7 +41,7 @@
 }
 
 impl Row {
-    /// A server as its entry says.
+    /// Creates the row for a server's entry in the store.
     pub fn new(server: &Server, revision: Revision) -> Self {
         Self {
             id: server.id.clone(),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The same as an entry of another revision.
+    /// Returns the row with another revision.
     pub fn with_revision(self, revision: Revision) -> Self {
         Self {
             revision: revision.number(),
@@ -67,8 +67,11 @@
         }
     }
 
-    /// Whether it says of its server what another entry says, but for how long it is cold
-    /// and that it leaves, which holds whenever it was said.
+    /// Whether this row does not contradict `known`, a row of the same server. Revisions
+    /// and the remaining cold time may differ, and this row alone may say that the server
+    /// is leaving: a leaving server never takes that back, so it holds regardless of
+    /// which row is newer. If `known` says that the server is leaving, this row has to
+    /// say so too.
     pub fn adds_nothing_to(&self, known: &Self) -> bool {
         let same = Self {
             revision: self.revision,
@@ -80,13 +83,13 @@
         same == *self && (self.draining || !known.draining)
     }
 
-    /// The same as of a moment at which the server is cold for so much longer.
+    /// Returns the row with another remaining cold time.
     pub fn with_cold(mut self, left: Duration) -> Self {
         self.set_cold(left);
         self
     }
 
-    /// Makes it so.
+    /// Sets the remaining cold time.
     pub fn set_cold(&mut self, left: Duration) {
         self.cold_ms = as_ms(left);
     }
--- a/crates/relay/src/message/traffic.rs
+++ b/crates/relay/src/message/traffic.rs
@@ -1,5 +1,4 @@
-//! What boxes tell each other of the requests under way, the placements and the ends of
-//! servers.
+//! Messages by which boxes report requests in flight, placements and crashes of servers.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,64 +7,64 @@
 use crate::rollout::{self, evidence};
 use crate::traffic::log::{Placement, Position};
 
-/// Who asks.
+/// The kind of sender of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Requester {
-    /// A box of the same hall: it tells of its own requests and hears of all.
+    /// A box of the same hall: it reports its own requests and gets those of all boxes.
     Box,
-    /// The hub of another hall: it hears of this hall's requests.
+    /// The hub of another hall: it gets the requests of this hall.
     Hub,
 }
 
-/// What a box tells, and asks for.
+/// A report of a box, and a request for the receiver's report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Request {
-    /// [`VERSION`](super::VERSION) of the sender.
+    /// Protocol version ([`VERSION`](super::VERSION)) of the sender.
     pub version: u16,
-    /// Comes back in the answer.
+    /// Number of the request, which its answer repeats.
     pub number: u64,
-    /// Who asks.
+    /// The kind of sender.
     pub asker: Requester,
-    /// Where the sender stands in the other's log of placements.
+    /// Position of the sender in the receiver's log of placements.
     pub place: Position,
-    /// What the sender tells.
+    /// Report of the sender.
     pub report: Report,
 }
 
-/// What one side tells the other.
+/// Report of one side to the other.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Boxes whose requests are counted.
+    /// Number of boxes whose requests are counted.
     pub boxes: u32,
-    /// Counts that differ from what was told before on this connection.
+    /// Counts that changed since the last report on this connection.
     pub counts: Vec<Count>,
-    /// Placements that are new.
+    /// New placements.
     pub rows: Vec<Placement>,
-    /// Further ones for which there was no room.
+    /// Number of further new placements that were left out for lack of space.
     pub untold: u32,
-    /// Contents that servers ended under, as far as that is new.
+    /// New observations of request contents during which servers crashed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub crashes: Vec<table::Row>,
-    /// What answers showed of releases that services are moved to.
+    /// Evidence from answers about the releases that services are being moved to.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub trials: Vec<evidence::Row>,
-    /// The orders to move services, while there are any.
+    /// The orders to move services to another release, while there are any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rollouts: Option<rollout::List>,
 }
 
-/// The answer.
+/// The answer to a [`Request`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
-    /// [`VERSION`](super::VERSION) of the sender.
+    /// Protocol version ([`VERSION`](super::VERSION)) of the sender.
     pub version: u16,
-    /// The question's number.
+    /// Number of the request.
     pub number: u64,
-    /// Whether the sender is the hub of its hall: only a hub knows the whole
-    /// hall's requests.
+    /// Whether the sender is the hub of its hall: only a hub knows the requests of the
+    /// whole hall.
     pub is_hub: bool,
-    /// The asker's place in the log after these rows.
+    /// The receiver's position in the log of placements after these rows.
     pub place: Position,
-    /// What the sender tells.
+    /// Report of the sender.
     pub report: Report,
 }
--- a/crates/relay/src/peer/responder.rs
+++ b/crates/relay/src/peer/responder.rs
@@ -133,8 +133,12 @@
 /// Receives the next request. The connection may be idle for `IDLE_TIMEOUT` before it;
 /// once it has begun, it has to arrive within `MESSAGE_TIMEOUT`.
 async fn receive(conn: &mut Conn) -> Result<PeerRequest, Error> {
-    link::within(IDLE_TIMEOUT, link::begun(conn)).await?;
-    link::within(MESSAGE_TIMEOUT, link::receive_most(conn, REQUEST_BYTES_MAX)).await
+    link::within(IDLE_TIMEOUT, link::wait_for_first_byte(conn)).await?;
+    link::within(
+        MESSAGE_TIMEOUT,
+        link::receive_limited(conn, REQUEST_BYTES_MAX),
+    )
+    .await
 }
 
 /// A connected box; its report is discarded when the connection ends.
@@ -228,7 +232,7 @@
             let place = Cursor {
                 position: request.position,
                 after: options.after.clone(),
-                complete_revision: options.whole(),
+                complete_revision: options.complete_revision(),
             };
             let (part, position) = follower.servers_part(&place);
             (Servers::Part(part), position)
--- a/crates/relay/src/peer/upstream.rs
+++ b/crates/relay/src/peer/upstream.rs
@@ -255,7 +255,7 @@
             position: self.position,
             options: Some(Options {
                 after,
-                whole: complete_revision.number(),
+                complete_revision: complete_revision.number(),
                 era: complete_revision.era().0,
                 in_force: Some(self.follower.relay().view.version().0),
                 operator_only: false,
