--- a/crates/relay/tests/relay/impostors.rs
+++ b/crates/relay/tests/relay/impostors.rs
@@ -1,5 +1,5 @@
-//! Readers of a hall that answer wrongly or not at all, and strangers on the port
-//! of boxes: no box believes them, and none is held up.
+//! Boxes next to a faulty reader, which answers wrongly or not at all, and malformed data
+//! on the port for other boxes: no box applies invalid data, and none is delayed.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -26,24 +26,24 @@
 };
 use crate::harness::{self, ms, run, server_settings, wait_until, Executor, Result, SERVICE};
 
-/// Time without data after which a connection of a test ends; never.
-const UNACKED: Duration = Duration::from_secs(30);
+/// Time-out for unacknowledged data; longer than any test.
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a false reader sends as its answer.
-enum Say {
-    /// An answer, and the configuration's entry that follows it.
+/// What a faulty reader sends as its answer.
+enum Behavior {
+    /// An answer, and the configuration document that follows it.
     Answer(Box<Answer>, Option<Vec<u8>>),
     Bytes(Vec<u8>),
-    /// Two pieces, and the time between them.
-    Slowly(Vec<u8>, Duration, Vec<u8>),
-    Nothing,
+    /// Two pieces of an answer, and the delay between them.
+    Delayed(Vec<u8>, Duration, Vec<u8>),
+    Silence,
 }
 
-/// A false reader of `hall-1`; it ends when dropped.
-fn impostor(
+/// A faulty reader in `hall-1`; it stops when dropped.
+fn start_faulty_reader(
     executor: &Executor,
     site: &Site,
-    answer: impl Fn(&Request) -> Say + 'static,
+    answer: impl Fn(&Request) -> Behavior + 'static,
 ) -> Result<Task<()>> {
     let peer = address();
     let listener = Listener::bind(peer)?;
@@ -51,47 +51,47 @@
     let answer = Rc::new(answer);
     let tasks = executor.clone();
     Ok(executor.spawn(async move {
-        while let Ok(conn) = listener.accept(UNACKED).await {
+        while let Ok(conn) = listener.accept(UNACKED_TIMEOUT).await {
             let answer = answer.clone();
-            let talk = async move {
-                if let Err(error) = lie(conn, &*answer).await {
+            let serving = async move {
+                if let Err(error) = serve_faulty(conn, &*answer).await {
                     log::debug!("an asker left: {error}");
                 }
             };
-            tasks.spawn(talk).detach();
+            tasks.spawn(serving).detach();
         }
     }))
 }
 
-async fn lie(mut conn: Conn, answer: &impl Fn(&Request) -> Say) -> Result {
+async fn serve_faulty(mut conn: Conn, answer: &impl Fn(&Request) -> Behavior) -> Result {
     loop {
         let question: PeerRequest = link::receive(&mut conn).await?;
-        let PeerRequest::Follow(ask) = question else {
+        let PeerRequest::Follow(request) = question else {
             continue;
         };
-        match answer(&ask) {
-            Say::Answer(mut told, document) => {
-                told.document_bytes = document.as_ref().map(|bytes| bytes.len() as u32);
-                link::send(&conn, &*told).await?;
+        match answer(&request) {
+            Behavior::Answer(mut message, document) => {
+                message.document_bytes = document.as_ref().map(|bytes| bytes.len() as u32);
+                link::send(&conn, &*message).await?;
                 link::send_bytes(&conn, &document.unwrap_or_default()).await?;
             }
-            Say::Bytes(bytes) => conn.writer().write_all(&bytes).await?,
-            Say::Slowly(first, time, rest) => {
+            Behavior::Bytes(bytes) => conn.writer().write_all(&bytes).await?,
+            Behavior::Delayed(first, time, rest) => {
                 conn.writer().write_all(&first).await?;
                 Timer::after(time).await;
                 conn.writer().write_all(&rest).await?;
             }
-            Say::Nothing => {}
+            Behavior::Silence => {}
         }
     }
 }
 
-/// An answer that vouches for a configuration of this revision and no servers'
-/// changes.
-fn told(ask: &Request, revision: u64) -> Answer {
+/// An answer that confirms a configuration of this revision as current and has no changes
+/// of servers.
+fn confirming_answer(request: &Request, revision: u64) -> Answer {
     Answer {
         version: VERSION,
-        number: ask.number,
+        number: request.number,
         age_ms: Some(0),
         known_ms: Some(0),
         revision,
@@ -109,61 +109,64 @@
     }
 }
 
-/// Boxes beside a false reader serve all the same.
-async fn serve_beside(executor: Executor, answer: impl Fn(&Request) -> Say + 'static) -> Result {
+/// Checks that boxes next to a faulty reader serve requests all the same.
+async fn check_served_beside(
+    executor: Executor,
+    answer: impl Fn(&Request) -> Behavior + 'static,
+) -> Result {
     let site = site_with_keys()?;
     let server = site.server(server_settings(1))?;
-    let _impostor = impostor(&executor, &site, answer)?;
-    let machines = start_boxes(&executor, &site, 2).await?;
-    served(&machines, &[&server], ms(1_500)).await?;
-    let found = readers(&machines, PROOF_TIME).await;
+    let _reader = start_faulty_reader(&executor, &site, answer)?;
+    let boxes = start_boxes(&executor, &site, 2).await?;
+    served(&boxes, &[&server], ms(1_500)).await?;
+    let found = readers(&boxes, PROOF_TIME).await;
     ensure!(found.contains(&0), "read by {found:?}");
     Ok(())
 }
 
 #[test]
-fn a_reader_of_another_version_is_not_believed() -> Result {
+fn answers_of_another_protocol_version_are_ignored() -> Result {
     run(async |executor| {
-        let other = |ask: &Request| {
+        let other_version = |request: &Request| {
             let version = VERSION + 1;
-            let told = told(ask, 1_000);
-            Say::Answer(Box::new(Answer { version, ..told }), Some(b"{}".to_vec()))
+            let answer = confirming_answer(request, 1_000);
+            Behavior::Answer(Box::new(Answer { version, ..answer }), Some(b"{}".to_vec()))
         };
-        serve_beside(executor, other).await
+        check_served_beside(executor, other_version).await
     })
 }
 
 #[test]
-fn a_reader_that_sends_garbage_is_not_believed() -> Result {
+fn malformed_answers_are_ignored() -> Result {
     run(async |executor| {
-        let garbage = |ask: &Request| match ask.number % 3 {
-            0 => Say::Bytes(vec![0xff; 64]),
-            1 => Say::Bytes(vec![0, 0, 0, 4, 1, 2, 3, 4]),
-            _ => Say::Bytes(vec![0, 0, 0, 9, 0xa1]),
+        let garbage = |request: &Request| match request.number % 3 {
+            0 => Behavior::Bytes(vec![0xff; 64]),
+            1 => Behavior::Bytes(vec![0, 0, 0, 4, 1, 2, 3, 4]),
+            _ => Behavior::Bytes(vec![0, 0, 0, 9, 0xa1]),
         };
-        serve_beside(executor, garbage).await
+        check_served_beside(executor, garbage).await
     })
 }
 
 #[test]
-fn a_silent_reader_is_not_waited_for() -> Result {
-    run(async |executor| serve_beside(executor, |_| Say::Nothing).await)
+fn an_unresponsive_reader_delays_nobody() -> Result {
+    run(async |executor| check_served_beside(executor, |_| Behavior::Silence).await)
 }
 
 #[test]
-fn a_reader_that_cannot_vouch_is_not_believed() -> Result {
+fn unconfirmed_answers_are_ignored() -> Result {
     run(async |executor| {
-        let unsure = |ask: &Request| {
+        let unconfirmed = |request: &Request| {
             let age_ms = None;
-            let told = told(ask, 1_000);
-            Say::Answer(Box::new(Answer { age_ms, ..told }), None)
+            let answer = confirming_answer(request, 1_000);
+            Behavior::Answer(Box::new(Answer { age_ms, ..answer }), None)
         };
-        serve_beside(executor, unsure).await
+        check_served_beside(executor, unconfirmed).await
     })
 }
 
 #[test]
-fn an_older_configuration_is_not_taken_over() -> Result {
+fn an_older_configuration_is_not_applied() -> Result {
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
@@ -174,37 +177,37 @@
                 text.ok_or_else(|| eyre!("no configuration"))?,
             ))
         };
-        let row = Row::new(&announced(&server)?, Revision::of(site.store.revision()));
+        let row = Row::new(&advertised(&server)?, Revision::of(site.store.revision()));
         let older = entry()?;
         let version = site.declare(&[Route::new("/new/", Kind::Repeatable, SERVICE)]);
         let newer = entry()?;
-        // It vouches for the newest entry at first, later for the one before.
+        // The reader confirms the newest entry at first, and later the one before it.
         let stale = Rc::new(Cell::new(false));
-        let said = stale.clone();
-        let old = move |ask: &Request| {
-            let (revision, text) = if said.get() { &older } else { &newer };
+        let is_stale = stale.clone();
+        let outdated = move |request: &Request| {
+            let (revision, text) = if is_stale.get() { &older } else { &newer };
             let servers = Servers::All(vec![row.clone()], Revision::of(*revision));
-            let told = told(ask, *revision);
-            Say::Answer(Box::new(Answer { servers, ..told }), Some(text.clone()))
+            let answer = confirming_answer(request, *revision);
+            Behavior::Answer(Box::new(Answer { servers, ..answer }), Some(text.clone()))
         };
-        let _impostor = impostor(&executor, &site, old)?;
-        let machines = start_boxes(&executor, &site, 2).await?;
-        settled(&machines, &[]).await?;
+        let _reader = start_faulty_reader(&executor, &site, outdated)?;
+        let boxes = start_boxes(&executor, &site, 2).await?;
+        settled(&boxes, &[]).await?;
         stale.set(true);
         let start = Instant::now();
         while start.elapsed() < ms(3_000) {
-            for machine in &machines {
-                let now = machine.router.relay().view.version().0;
+            for test_box in &boxes {
+                let now = test_box.router.relay().view.version().0;
                 ensure!(now == version, "{now} after {version}");
             }
-            served(&machines, &[&server], ms(1)).await?;
+            served(&boxes, &[&server], ms(1)).await?;
         }
         Ok(())
     })
 }
 
-/// A server as its entry says.
-fn announced(server: &stand_in::Server) -> Result<Server> {
+/// The server as its entry advertises it.
+fn advertised(server: &stand_in::Server) -> Result<Server> {
     let settings = server.settings();
     Ok(Server {
         id: settings.id.parse()?,
@@ -220,14 +223,14 @@
 }
 
 #[test]
-fn garbage_on_the_port_of_boxes_does_no_harm() -> Result {
+fn malformed_requests_of_boxes_do_no_harm() -> Result {
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
-        let machines = started(&executor, &site, 2).await?;
-        let peer = machines[0].peer;
-        let open = || Conn::open(peer, ms(500), UNACKED);
-        let before = machines[1].store.asked();
+        let boxes = started(&executor, &site, 2).await?;
+        let peer = boxes[0].peer;
+        let open = || Conn::open(peer, ms(500), UNACKED_TIMEOUT);
+        let before = boxes[1].store.asked();
         let huge = u32::MAX.to_be_bytes().to_vec();
         for bytes in [
             huge,
@@ -239,7 +242,7 @@
             conn.writer().write_all(&bytes).await?;
             closed(&mut conn).await?;
         }
-        let ask = Request {
+        let request = Request {
             version: VERSION,
             number: 5,
             document: 0,
@@ -252,12 +255,12 @@
             &other,
             &PeerRequest::Follow(Request {
                 version,
-                ..ask.clone()
+                ..request.clone()
             }),
         )
         .await?;
         closed(&mut other).await?;
-        // Half a message, and many who say nothing.
+        // Half a message, and many connections that send nothing.
         let half = open().await?;
         half.writer().write_all(&[0, 0, 1]).await?;
         let mut silent = Vec::new();
@@ -265,22 +268,25 @@
             silent.push(open().await?);
         }
         let mut right = open().await?;
-        link::send(&right, &PeerRequest::Follow(ask)).await?;
-        let told: Answer = link::receive(&mut right).await?;
-        ensure!((told.version, told.number) == (VERSION, 5), "{told:?}");
-        let Some(count) = told.document_bytes else {
-            bail!("no document: {told:?}");
+        link::send(&right, &PeerRequest::Follow(request)).await?;
+        let answer: Answer = link::receive(&mut right).await?;
+        ensure!(
+            (answer.version, answer.number) == (VERSION, 5),
+            "{answer:?}"
+        );
+        let Some(count) = answer.document_bytes else {
+            bail!("no document: {answer:?}");
         };
-        ensure!(told.age_ms.is_some() && count > 0, "{told:?}");
+        ensure!(answer.age_ms.is_some() && count > 0, "{answer:?}");
         let document = link::receive_bytes(&mut right, count as usize).await?;
         ensure!(document.len() == count as usize, "a cut document");
-        served(&machines, &[&server], ms(800)).await?;
-        ensure!(machines[1].store.asked() == before, "the reader was left");
+        served(&boxes, &[&server], ms(800)).await?;
+        ensure!(boxes[1].store.asked() == before, "the reader was left");
         Ok(())
     })
 }
 
-/// Waits until the other side closes without a word.
+/// Waits until the other side closes the connection without sending anything.
 pub(crate) async fn closed(conn: &mut Conn) -> Result {
     let late = async {
         Timer::after(ms(1_000)).await;
@@ -294,8 +300,8 @@
     }
 }
 
-/// A message as it is on the wire.
-fn frame(answer: &Answer) -> Result<Vec<u8>> {
+/// Encodes a message as on the wire.
+fn encode_frame(answer: &Answer) -> Result<Vec<u8>> {
     let mut body = Vec::new();
     ciborium::into_writer(answer, &mut body)?;
     let mut bytes = u32::try_from(body.len())?.to_be_bytes().to_vec();
@@ -303,26 +309,26 @@
     Ok(bytes)
 }
 
-/// A large configuration takes long on the way to a whole hall; who leaves
-/// meanwhile is known before it is there.
+/// A large configuration takes long to reach a whole hall; that a server is removed has
+/// to be known before it has arrived.
 #[test]
-fn a_server_that_goes_is_known_before_a_slow_configuration() -> Result {
+fn a_removed_server_is_known_before_a_slow_configuration() -> Result {
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
-        let row = Row::new(&announced(&server)?, Revision::of(site.store.revision()));
+        let row = Row::new(&advertised(&server)?, Revision::of(site.store.revision()));
         let id = row.id().clone();
         let text = site.store.value(names::CONFIG);
         let text = text.ok_or_else(|| eyre!("no configuration"))?;
         let revision = site.store.revision();
-        let going = Rc::new(Cell::new(false));
-        let said = going.clone();
-        let slow = move |ask: &Request| {
-            if ask.document < revision || !said.get() {
+        let removed = Rc::new(Cell::new(false));
+        let is_removed = removed.clone();
+        let slow = move |request: &Request| {
+            if request.document < revision || !is_removed.get() {
                 let servers = Servers::All(vec![row.clone()], Revision::of(revision));
-                let told = told(ask, revision);
-                let document = (ask.document < revision).then(|| text.clone());
-                return Say::Answer(Box::new(Answer { servers, ..told }), document);
+                let answer = confirming_answer(request, revision);
+                let document = (request.document < revision).then(|| text.clone());
+                return Behavior::Answer(Box::new(Answer { servers, ..answer }), document);
             }
             let answer = Answer {
                 servers: Servers::Changes(vec![Change::Removed(
@@ -330,18 +336,18 @@
                     Revision::of(revision + 1),
                 )]),
                 document_bytes: Some(400_000),
-                ..told(ask, revision + 1)
+                ..confirming_answer(request, revision + 1)
             };
-            Say::Bytes(frame(&answer).unwrap_or_default())
+            Behavior::Bytes(encode_frame(&answer).unwrap_or_default())
         };
-        let _impostor = impostor(&executor, &site, slow)?;
-        let machine = TestBox::start(&executor, &site, "box-0", "hall-1", 5_000).await?;
-        settled(std::slice::from_ref(&machine), &[]).await?;
-        ensure!(harness::knows(&machine.router, &server), "not known");
-        going.set(true);
+        let _reader = start_faulty_reader(&executor, &site, slow)?;
+        let test_box = TestBox::start(&executor, &site, "box-0", "hall-1", 5_000).await?;
+        settled(std::slice::from_ref(&test_box), &[]).await?;
+        ensure!(harness::knows(&test_box.router, &server), "not known");
+        removed.set(true);
         let start = Instant::now();
         wait_until("gone", async || {
-            Ok(!harness::knows(&machine.router, &server))
+            Ok(!harness::knows(&test_box.router, &server))
         })
         .await?;
         ensure!(start.elapsed() < ms(1_000), "{:?}", start.elapsed());
@@ -350,19 +356,19 @@
 }
 
 #[test]
-fn an_answer_that_has_begun_is_waited_for() -> Result {
+fn a_slow_answer_is_received_completely() -> Result {
     run(async |executor| {
         let site = site_with_keys()?;
         let last = Rc::new(Cell::new(0));
         let seen = last.clone();
-        // As the list of very many servers does over a weak link.
-        let slow = move |ask: &Request| {
-            seen.set(seen.get().max(ask.number));
-            let mut bytes = frame(&told(ask, 1)).unwrap_or_default();
+        // The answer takes as long as a list of very many servers over a weak link.
+        let slow = move |request: &Request| {
+            seen.set(seen.get().max(request.number));
+            let mut bytes = encode_frame(&confirming_answer(request, 1)).unwrap_or_default();
             let rest = bytes.split_off(bytes.len() / 2);
-            Say::Slowly(bytes, ms(900), rest)
+            Behavior::Delayed(bytes, ms(900), rest)
         };
-        let _impostor = impostor(&executor, &site, slow)?;
+        let _reader = start_faulty_reader(&executor, &site, slow)?;
         let _machine = TestBox::start(&executor, &site, "box-0", "hall-1", 5_000).await?;
         for _ in 0..50 {
             Timer::after(ms(100)).await;
--- a/crates/relay/tests/relay/peers.rs
+++ b/crates/relay/tests/relay/peers.rs
@@ -1,5 +1,5 @@
-//! How the boxes of a hall share what they know of the store: one reads it, the
-//! others ask that one, and no fault of the one costs a promise.
+//! How the boxes of a hall share the store's data: one box reads the store, the others
+//! follow it, and no fault of the reader breaks a guarantee.
 
 use std::time::Duration;
 
@@ -21,18 +21,18 @@
     Result, SERVICE,
 };
 
-/// Time in which a reader asks the store for two proofs.
-const TWO_PROOFS: Duration = Duration::from_millis(1_700);
+/// Time in which a reader makes two freshness checks.
+const TWO_FRESHNESS_CHECKS: Duration = Duration::from_millis(1_700);
 
-/// Time in which a box counts as just started.
-const START_TIME: Duration = Duration::from_millis(5_300);
+/// Time for which a box counts as just started.
+const STARTUP_TIME: Duration = Duration::from_millis(5_300);
 
 #[test]
 fn one_box_of_a_hall_reads_the_store() -> Result {
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
-        let mut machines = Vec::new();
+        let mut boxes = Vec::new();
         for (name, hall, link) in [
             ("box-0", "hall-1", 200),
             ("box-1", "hall-1", 1_000),
@@ -41,20 +41,20 @@
             ("box-4", "hall-2", 900),
             ("box-5", "hall-2", 800),
         ] {
-            machines.push(TestBox::start(&executor, &site, name, hall, link).await?);
+            boxes.push(TestBox::start(&executor, &site, name, hall, link).await?);
         }
-        ready(&machines).await?;
-        settled(&machines, &[3, 4]).await?;
+        ready(&boxes).await?;
+        settled(&boxes, &[3, 4]).await?;
         let before = site.store.all_calls();
-        let found = readers(&machines, TWO_PROOFS).await;
+        let found = readers(&boxes, TWO_FRESHNESS_CHECKS).await;
         ensure!(found == [3, 4], "read by {found:?}");
         for (name, count) in site.store.all_calls() {
             let made = count - before.get(&name).copied().unwrap_or(0);
-            // Two readers, each with two proofs or three.
+            // Two readers, each with two or three freshness checks.
             let most = if name == "kv-txn" { 6 } else { 0 };
             ensure!(made <= most, "{made} calls of {name}");
         }
-        served(&machines, &[&server], ms(200)).await
+        served(&boxes, &[&server], ms(200)).await
     })
 }
 
@@ -64,16 +64,16 @@
         let site = site_with_keys()?;
         let stays = site.server(server_settings(1))?;
         let leaves = site.server(server_settings(2))?;
-        let machines = started(&executor, &site, 4).await?;
+        let boxes = started(&executor, &site, 4).await?;
         let since = Instant::now();
         site.declare(&[Route::new("/new/", Kind::Repeatable, SERVICE)]);
         site.announce(&leaves, State::Draining);
-        for machine in &machines {
+        for test_box in &boxes {
             wait_until("applied", async || {
-                Ok(machine.call(&post("/new/x", "probe")).await?.status == 200)
+                Ok(test_box.call(&post("/new/x", "probe")).await?.status == 200)
             })
             .await?;
-            wait_until("left", async || Ok(!machine.sends_to(&leaves)?)).await?;
+            wait_until("left", async || Ok(!test_box.sends_to(&leaves)?)).await?;
         }
         ensure!(since.elapsed() < APPLY_TIME, "{:?}", since.elapsed());
         ensure!(since.elapsed() < LEAVE_TIME, "{:?}", since.elapsed());
@@ -82,110 +82,114 @@
         site.drop_route("/new/");
         site.withdraw(&leaves);
         let joins = site.server(server_settings(3))?;
-        served(&machines, &[&stays, &joins], ms(300)).await?;
-        for machine in &machines {
+        served(&boxes, &[&stays, &joins], ms(300)).await?;
+        for test_box in &boxes {
             wait_until("dropped", async || {
-                let status = machine.call(&post("/new/x", "probe")).await?.status;
-                Ok(status == 404 && !machine.knows(&leaves) && machine.sends_to(&joins)?)
+                let status = test_box.call(&post("/new/x", "probe")).await?.status;
+                Ok(status == 404 && !test_box.knows(&leaves) && test_box.sends_to(&joins)?)
             })
             .await?;
         }
         ensure!(since.elapsed() < APPLY_TIME, "{:?}", since.elapsed());
         ensure!(leaves.runs().len() == before, "asked after it left");
-        settled(&machines, &[0]).await
+        settled(&boxes, &[0]).await
     })
 }
 
-/// Harms the reader of a hall; the others serve on, and one of them reads.
-async fn replaced(executor: Executor, harm: impl FnOnce(&TestBox)) -> Result<Vec<TestBox>> {
+/// Makes the reader of a hall fail with `harm`; the other boxes keep serving, and exactly
+/// one of them becomes the reader.
+async fn check_replaced(
+    executor: Executor,
+    break_reader: impl FnOnce(&TestBox),
+) -> Result<Vec<TestBox>> {
     let site = site_with_keys()?;
     let server = site.server(server_settings(1))?;
-    let machines = started(&executor, &site, 3).await?;
-    harm(&machines[0]);
-    let others = &machines[1..];
+    let boxes = started(&executor, &site, 3).await?;
+    break_reader(&boxes[0]);
+    let others = &boxes[1..];
     served(others, &[&server], REVOKE_TIME).await?;
     let serving = async {
         served(others, &[&server], ms(15_000)).await?;
         Err(eyre!("more than one reader"))
     };
     settled(others, &[0]).or(serving).await?;
-    Ok(machines)
+    Ok(boxes)
 }
 
 #[test]
 fn a_frozen_reader_is_replaced() -> Result {
     run(async |executor| {
-        replaced(executor, |reader| reader.freeze(true)).await?;
+        check_replaced(executor, |reader| reader.freeze(true)).await?;
         Ok(())
     })
 }
 
 #[test]
-fn a_thawed_reader_opens_nothing_old() -> Result {
+fn a_thawed_reader_accepts_no_revoked_key() -> Result {
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
-        let machines = started(&executor, &site, 2).await?;
-        let (reader, others) = (&machines[0], &machines[1..]);
+        let boxes = started(&executor, &site, 2).await?;
+        let (reader, others) = (&boxes[0], &boxes[1..]);
         reader.freeze(true);
         site.account("tenant-2", &["new"], 1);
         served(others, &[&server], REVOKE_TIME).await?;
         reader.freeze(false);
         let thawed = Instant::now();
         while thawed.elapsed() < ms(700) {
-            for machine in &machines {
-                let attempt = format!("{}-{:?}", machine.name, thawed.elapsed());
-                let answer = machine.call(&with_key("goes", &attempt)).await?;
+            for test_box in &boxes {
+                let attempt = format!("{}-{:?}", test_box.name, thawed.elapsed());
+                let answer = test_box.call(&with_key("goes", &attempt)).await?;
                 ensure!(matches!(answer.status, 401 | 503), "{attempt}: {answer:?}");
                 ensure!(server.ran(&attempt) == 0, "{attempt} ran");
             }
             served(others, &[&server], ms(1)).await?;
         }
-        ready(&machines).await?;
-        served(&machines, &[&server], ms(100)).await
+        ready(&boxes).await?;
+        served(&boxes, &[&server], ms(100)).await
     })
 }
 
 #[test]
 fn a_reader_cut_off_from_the_store_is_replaced() -> Result {
     run(async |executor| {
-        replaced(executor, |reader| reader.store.cut()).await?;
+        check_replaced(executor, |reader| reader.store.cut()).await?;
         Ok(())
     })
 }
 
 #[test]
-fn a_reader_whose_store_is_silent_is_replaced() -> Result {
+fn a_reader_whose_store_is_unresponsive_is_replaced() -> Result {
     run(async |executor| {
-        replaced(executor, |reader| reader.store.silence()).await?;
+        check_replaced(executor, |reader| reader.store.silence()).await?;
         Ok(())
     })
 }
 
 #[test]
-fn a_killed_reader_is_replaced_and_comes_back() -> Result {
+fn a_restarted_reader_takes_over_again() -> Result {
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
         let peer = address();
-        let told = box_harness::settings(&site, "box-9", "hall-1", 9_000, peer);
-        let mut reader = Process::start(told.clone(), peer)?;
+        let settings = box_harness::settings(&site, "box-9", "hall-1", 9_000, peer);
+        let mut reader = Process::start(settings.clone(), peer)?;
         wait_until("serving", async || Ok(reader.serves().await)).await?;
-        let machines = start_boxes(&executor, &site, 2).await?;
-        settled(&machines, &[]).await?;
+        let boxes = start_boxes(&executor, &site, 2).await?;
+        settled(&boxes, &[]).await?;
         reader.kill()?;
-        served(&machines, &[&server], REVOKE_TIME).await?;
-        settled(&machines, &[0]).await?;
+        served(&boxes, &[&server], REVOKE_TIME).await?;
+        settled(&boxes, &[0]).await?;
         let (leases, revision) = (site.store.calls("kv-lease"), site.store.revision());
-        // It finds its registration, and writes nothing.
-        let _reader = Process::start(told, peer)?;
+        // The restarted box finds its registration and writes nothing.
+        let _reader = Process::start(settings, peer)?;
         let since = Instant::now();
         let mut quiet = false;
         while !quiet {
             ensure!(since.elapsed() < ms(5_000), "the reader is not believed");
-            let asked: u64 = machines.iter().map(|machine| machine.store.asked()).sum();
-            served(&machines, &[&server], PROOF_TIME).await?;
-            let now: u64 = machines.iter().map(|machine| machine.store.asked()).sum();
+            let asked: u64 = boxes.iter().map(|test_box| test_box.store.asked()).sum();
+            served(&boxes, &[&server], PROOF_TIME).await?;
+            let now: u64 = boxes.iter().map(|test_box| test_box.store.asked()).sum();
             quiet = asked == now;
         }
         ensure!(site.store.calls("kv-lease") == leases, "registered again");
@@ -199,65 +203,68 @@
     run(async |executor| {
         let site = Site::start()?;
         let server = site.server(server_settings(1))?;
-        let mut machines = Vec::new();
+        let mut boxes = Vec::new();
         for number in 0..5 {
             let (name, link) = (format!("box-{number}"), 5_000 - number * 100);
-            machines.push(TestBox::start(&executor, &site, &name, "hall-1", link).await?);
+            boxes.push(TestBox::start(&executor, &site, &name, "hall-1", link).await?);
         }
-        settled(&machines, &[0]).await?;
+        settled(&boxes, &[0]).await?;
         ensure!(site.store.keys(BOXES).len() == 5, "not all are registered");
-        for machine in &machines {
-            ensure!(!machine.is_ready(), "ready without a configuration");
-            ensure_not_executed(&machine.call(&post("/r/x", "early")).await?)?;
+        for test_box in &boxes {
+            ensure!(!test_box.is_ready(), "ready without a configuration");
+            ensure_not_executed(&test_box.call(&post("/r/x", "early")).await?)?;
         }
         let since = Instant::now();
         site.declare(&[Route::new("/r/", Kind::Repeatable, SERVICE)]);
-        ready(&machines).await?;
+        ready(&boxes).await?;
         ensure!(since.elapsed() < APPLY_TIME, "{:?}", since.elapsed());
-        for machine in &machines {
-            let answer = machine.call(&post("/r/x", &machine.name)).await?;
-            ensure_served_by(&answer, &[&server], &machine.name)?;
+        for test_box in &boxes {
+            let answer = test_box.call(&post("/r/x", &test_box.name)).await?;
+            ensure_served_by(&answer, &[&server], &test_box.name)?;
         }
         Ok(())
     })
 }
 
-/// A reader in `hall-2` that the boxes of `hall-1` ask over a way that a test
-/// can delay.
-async fn over_a_way(executor: &Executor, site: &Site) -> Result<(TestBox, Proxy, Vec<TestBox>)> {
+/// A reader in `hall-2` that the boxes of `hall-1` follow over a connection whose delay a
+/// test sets.
+async fn over_a_delayed_link(
+    executor: &Executor,
+    site: &Site,
+) -> Result<(TestBox, Proxy, Vec<TestBox>)> {
     let reader = TestBox::start(executor, site, "box-9", "hall-2", 1_000).await?;
-    let way = Proxy::open(executor, reader.peer).await?;
-    register(site, "box-8", "hall-1", way.address())?;
+    let link = Proxy::open(executor, reader.peer).await?;
+    register(site, "box-8", "hall-1", link.address())?;
     wait_until("ready", async || Ok(reader.is_ready())).await?;
-    let machines = start_boxes(executor, site, 2).await?;
-    settled(&machines, &[]).await?;
-    Ok((reader, way, machines))
+    let boxes = start_boxes(executor, site, 2).await?;
+    settled(&boxes, &[]).await?;
+    Ok((reader, link, boxes))
 }
 
-/// Requests with a key that was taken away while the store is lost for all.
-async fn refused_in_time(executor: Executor, delay: Duration) -> Result {
+/// Checks requests with a revoked key while the store is unreachable for all boxes.
+async fn check_refused_in_time(executor: Executor, delay: Duration) -> Result {
     let site = site_with_keys()?;
     let server = site.server(server_settings(1))?;
-    let (reader, way, machines) = over_a_way(&executor, &site).await?;
-    way.delay(delay);
-    served(&machines, &[&server], ms(500)).await?;
+    let (reader, link, boxes) = over_a_delayed_link(&executor, &site).await?;
+    link.delay(delay);
+    served(&boxes, &[&server], ms(500)).await?;
     let faults = |down| site.store.faults(|faults| faults.down = down);
     faults(Some(Down::Silent));
     let lost = Instant::now();
     site.account("tenant-2", &["new"], 1);
     while lost.elapsed() < REVOKE_TIME + ms(300) {
-        for machine in machines.iter().chain([&reader]) {
-            let proven = machine.proven();
-            let proven = proven.ok_or_else(|| eyre!("{}: no proof", machine.name))?;
+        for test_box in boxes.iter().chain([&reader]) {
+            let proven = test_box.proven();
+            let proven = proven.ok_or_else(|| eyre!("{}: no proof", test_box.name))?;
             ensure!(
                 proven <= lost,
                 "{}: {:?} too young",
-                machine.name,
+                test_box.name,
                 proven - lost
             );
-            let attempt = format!("{}-{:?}", machine.name, lost.elapsed());
+            let attempt = format!("{}-{:?}", test_box.name, lost.elapsed());
             let asked = Instant::now();
-            let answer = machine.call(&with_key("goes", &attempt)).await?;
+            let answer = test_box.call(&with_key("goes", &attempt)).await?;
             if asked > lost + REVOKE_TIME {
                 ensure_not_executed(&answer)?;
                 ensure!(server.ran(&attempt) == 0, "{attempt} ran");
@@ -265,13 +272,13 @@
         }
         Timer::after(ms(20)).await;
     }
-    for machine in &machines {
-        ensure!(!machine.is_ready(), "{} is ready", machine.name);
+    for test_box in &boxes {
+        ensure!(!test_box.is_ready(), "{} is ready", test_box.name);
     }
     faults(None);
-    ready(&machines).await?;
-    for machine in &machines {
-        let answer = machine.call(&with_key("goes", "after")).await?;
+    ready(&boxes).await?;
+    for test_box in &boxes {
+        let answer = test_box.call(&with_key("goes", "after")).await?;
         ensure!(answer.status == 401, "{answer:?}");
     }
     Ok(())
@@ -279,33 +286,33 @@
 
 #[test]
 fn keys_are_refused_in_time_without_the_store() -> Result {
-    run(async |executor| refused_in_time(executor, Duration::ZERO).await)
+    run(async |executor| check_refused_in_time(executor, Duration::ZERO).await)
 }
 
 #[test]
-fn keys_are_refused_in_time_though_answers_are_late() -> Result {
-    run(async |executor| refused_in_time(executor, ms(280)).await)
+fn keys_are_refused_in_time_with_slow_answers() -> Result {
+    run(async |executor| check_refused_in_time(executor, ms(280)).await)
 }
 
 #[test]
-fn a_proof_passed_on_is_no_younger() -> Result {
+fn a_forwarded_confirmation_is_not_newer() -> Result {
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
-        let (reader, way, machines) = over_a_way(&executor, &site).await?;
+        let (reader, link, boxes) = over_a_delayed_link(&executor, &site).await?;
         for delay in [0, 120, 300] {
-            way.delay(ms(delay));
-            // A box that had to ask the store has a proof of its own.
-            let asked = || machines.iter().map(|machine| machine.store.asked());
+            link.delay(ms(delay));
+            // A box that had to read the store has a freshness check of its own.
+            let asked = || boxes.iter().map(|test_box| test_box.store.asked());
             let before: Vec<u64> = asked().collect();
             let mut compared = 0;
             let start = Instant::now();
             while start.elapsed() < ms(800) {
                 let newest = reader.proven();
-                for (machine, before) in machines.iter().zip(&before) {
-                    if machine.store.asked() == *before {
-                        let proven = machine.proven();
-                        ensure!(proven <= newest, "{} after {delay} ms", machine.name);
+                for (test_box, before) in boxes.iter().zip(&before) {
+                    if test_box.store.asked() == *before {
+                        let proven = test_box.proven();
+                        ensure!(proven <= newest, "{} after {delay} ms", test_box.name);
                         compared += 1;
                     }
                 }
@@ -313,36 +320,37 @@
             }
             ensure!(compared > 0 || delay > 200, "nobody asked the reader");
         }
-        // One that is too late for every answer but the first harms nothing.
-        way.delay(ms(700));
-        served(&machines, &[&server], ms(3_500)).await
+        // A delay beyond the time-outs of all answers but the first does no harm.
+        link.delay(ms(700));
+        served(&boxes, &[&server], ms(3_500)).await
     })
 }
 
 #[test]
-fn a_server_that_is_gone_is_not_brought_back() -> Result {
+fn a_removed_server_stays_removed() -> Result {
     run(async |executor| {
         let site = site_with_keys()?;
         let gone = site.server(server_settings(1))?;
         let stays = site.server(server_settings(2))?;
         let start = Instant::now();
-        let machines = started(&executor, &site, 3).await?;
-        // From now on a box that cannot vouch is passed over for 3 s.
-        tidepier_clock::sleep_until(start + START_TIME).await;
-        let (back, others) = (&machines[0], &machines[1..]);
+        let boxes = started(&executor, &site, 3).await?;
+        // From now on a box that cannot confirm its data is skipped for 3 s.
+        tidepier_clock::sleep_until(start + STARTUP_TIME).await;
+        let (back, others) = (&boxes[0], &boxes[1..]);
         back.store.cut();
         let cut = Instant::now();
-        // The others ask the store by then.
+        // By then the others read the store themselves.
         served(others, &[&gone, &stays], ms(1_800)).await?;
         site.withdraw(&gone);
         let left = Instant::now();
         wait_until("dropped", async || {
-            Ok(!others.iter().any(|machine| machine.knows(&gone)))
+            Ok(!others.iter().any(|test_box| test_box.knows(&gone)))
         })
         .await?;
         ensure!(left.elapsed() < LEAVE_TIME, "{:?}", left.elapsed());
         let before = gone.runs().len();
-        // The others come back to it while it still holds the entry as missing.
+        // The others follow it again while it still keeps the server, whose entry is
+        // missing.
         tidepier_clock::sleep_until(cut + ms(2_900)).await;
         back.store.mend();
         ensure!(back.knows(&gone), "the one cut off dropped a server");
@@ -352,13 +360,13 @@
                 cut.elapsed() < ms(14_000),
                 "the one that came back is not asked"
             );
-            for machine in others {
-                ensure!(!machine.knows(&gone), "{} knows it again", machine.name);
+            for test_box in others {
+                ensure!(!test_box.knows(&gone), "{} knows it again", test_box.name);
             }
             served(others, &[&stays], ms(100)).await?;
             let now: Vec<u64> = others.iter().map(|other| other.store.asked()).collect();
             asked.push(now);
-            // Nothing asked for longer than between two proofs.
+            // No call to the store for longer than the interval of freshness checks.
             let then = asked.len().checked_sub(11);
             if then.is_some_and(|then| asked[then] == asked[asked.len() - 1]) {
                 heard += 1;
--- a/crates/relay/tests/relay/port.rs
+++ b/crates/relay/tests/relay/port.rs
@@ -1,5 +1,5 @@
-//! What the port on which boxes ask each other bears: half messages, many
-//! connections, questions that are too long.
+//! Limits of the port that serves requests of other boxes: incomplete messages, many
+//! connections, oversized requests.
 
 use std::time::{Duration, Instant};
 
@@ -17,11 +17,11 @@
 use crate::harness::{ms, run, server_settings, wait_until, Executor, Result};
 use crate::impostors::closed;
 
-/// Time after which bytes that nobody acknowledged end a connection.
-const UNACKED: Duration = Duration::from_secs(30);
+/// Time-out for unacknowledged data.
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A question of a box that knows every configuration.
-fn question(number: u64) -> PeerRequest {
+/// A request of a box that knows every configuration.
+fn request(number: u64) -> PeerRequest {
     PeerRequest::Follow(Request {
         version: VERSION,
         number,
@@ -32,19 +32,19 @@
 }
 
 /// A site with a server, and one box.
-async fn alone(executor: &Executor) -> Result<(Site, Server, Vec<TestBox>)> {
+async fn start_one_box(executor: &Executor) -> Result<(Site, Server, Vec<TestBox>)> {
     let site = site_with_keys()?;
     let server = site.server(server_settings(1))?;
-    let machines = start_boxes(executor, &site, 1).await?;
-    Ok((site, server, machines))
+    let boxes = start_boxes(executor, &site, 1).await?;
+    Ok((site, server, boxes))
 }
 
 #[test]
-fn half_a_message_on_the_port_of_boxes_is_not_waited_for() -> Result {
+fn incomplete_requests_of_boxes_time_out() -> Result {
     run(async |executor| {
-        let (_site, _server, machines) = alone(&executor).await?;
-        let open = || Conn::open(machines[0].peer, ms(500), UNACKED);
-        let mut asker = open().await?;
+        let (_site, _server, boxes) = start_one_box(&executor).await?;
+        let open = || Conn::open(boxes[0].peer, ms(500), UNACKED_TIMEOUT);
+        let mut conn_of_box = open().await?;
         let start = Instant::now();
         let mut halves = Vec::new();
         for bytes in [&[0_u8, 0][..], &[0, 0, 0, 9, 0xa1]] {
@@ -53,43 +53,43 @@
             halves.push(conn);
         }
         for conn in &mut halves {
-            ended(conn, responder::MESSAGE_TIMEOUT + ms(3_000)).await?;
+            wait_for_end(conn, responder::MESSAGE_TIMEOUT + ms(3_000)).await?;
         }
         ensure!(
             start.elapsed() >= responder::MESSAGE_TIMEOUT - ms(50),
             "{:?}",
             start.elapsed()
         );
-        // One that rests between two messages is none of them.
-        link::send(&asker, &question(1)).await?;
-        let told: Answer = link::receive(&mut asker).await?;
-        ensure!(told.number == 1, "{told:?}");
+        // A connection that is idle between two messages stays open.
+        link::send(&conn_of_box, &request(1)).await?;
+        let answer: Answer = link::receive(&mut conn_of_box).await?;
+        ensure!(answer.number == 1, "{answer:?}");
         Ok(())
     })
 }
 
 #[test]
-fn the_port_of_boxes_takes_so_many_connections() -> Result {
+fn connections_of_boxes_are_limited() -> Result {
     run(async |executor| {
-        let (_site, _server, machines) = alone(&executor).await?;
-        let open = || Conn::open(machines[0].peer, ms(500), UNACKED);
+        let (_site, _server, boxes) = start_one_box(&executor).await?;
+        let open = || Conn::open(boxes[0].peer, ms(500), UNACKED_TIMEOUT);
         let mut first = open().await?;
-        link::send(&first, &question(1)).await?;
-        let _told: Answer = link::receive(&mut first).await?;
+        link::send(&first, &request(1)).await?;
+        let _answer: Answer = link::receive(&mut first).await?;
         let mut others = Vec::new();
         for _ in 0..responder::CONNECTIONS_MAX {
             others.push(open().await?);
         }
-        let mut over = others.pop().ok_or_else(|| eyre!("no connection"))?;
-        ended(&mut over, ms(3_000)).await?;
-        // Those within the bound go on, and an end makes room.
-        link::send(&first, &question(2)).await?;
-        let told: Answer = link::receive(&mut first).await?;
-        ensure!(told.number == 2, "{told:?}");
+        let mut surplus = others.pop().ok_or_else(|| eyre!("no connection"))?;
+        wait_for_end(&mut surplus, ms(3_000)).await?;
+        // Connections within the limit stay open, and closing some makes room for others.
+        link::send(&first, &request(2)).await?;
+        let answer: Answer = link::receive(&mut first).await?;
+        ensure!(answer.number == 2, "{answer:?}");
         drop(others);
         wait_until("room", async || {
             let mut conn = open().await?;
-            link::send(&conn, &question(3)).await?;
+            link::send(&conn, &request(3)).await?;
             Ok(link::receive::<Answer>(&mut conn).await.is_ok())
         })
         .await
@@ -97,18 +97,18 @@
 }
 
 #[test]
-fn a_question_on_the_port_of_boxes_is_no_larger_than_any() -> Result {
+fn oversized_requests_of_boxes_are_refused() -> Result {
     run(async |executor| {
-        let (_site, _server, machines) = alone(&executor).await?;
-        let mut conn = Conn::open(machines[0].peer, ms(500), UNACKED).await?;
+        let (_site, _server, boxes) = start_one_box(&executor).await?;
+        let mut conn = Conn::open(boxes[0].peer, ms(500), UNACKED_TIMEOUT).await?;
         let length = u32::try_from(responder::REQUEST_BYTES_MAX + 1)?;
         conn.writer().write_all(&length.to_be_bytes()).await?;
         closed(&mut conn).await
     })
 }
 
-/// Waits until the other side ends the connection.
-async fn ended(conn: &mut Conn, limit: Duration) -> Result {
+/// Waits until the other side closes the connection.
+async fn wait_for_end(conn: &mut Conn, limit: Duration) -> Result {
     let late = async {
         Timer::after(limit).await;
         Err(eyre!("still open after {limit:?}"))
@@ -117,7 +117,7 @@
         match conn.fill().await {
             Ok(0) => Ok(()),
             Ok(count) => Err(eyre!("{count} bytes in answer")),
-            // A reset is an end.
+            // A reset closes it too.
             Err(_) => Ok(()),
         }
     };
--- a/crates/relay/tests/relay/registry.rs
+++ b/crates/relay/tests/relay/registry.rs
@@ -1,5 +1,5 @@
-//! How boxes find each other: their entries in the store, and the order that
-//! follows from them.
+//! Membership: the entries of boxes in the store, and the priority order that follows
+//! from them.
 
 use std::time::{Duration, Instant};
 
@@ -13,9 +13,8 @@
 use crate::harness::{ms, run, server_settings, wait_until, Result};
 use crate::peer_answers::relay;
 
-/// The latest time at which a box looks whether it is registered: it lists the
-/// boxes every 15 s.
-const LOOK_TIME: Duration = Duration::from_millis(17_000);
+/// Time within which a box checks its registration: it lists the boxes every 15 s.
+const CHECK_INTERVAL_MAX: Duration = Duration::from_millis(17_000);
 
 #[test]
 fn a_box_finds_its_registration() -> Result {
@@ -23,8 +22,8 @@
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
         let peer = address();
-        let told = box_harness::settings(&site, "box-1", "hall-1", 1_000, peer);
-        // As an earlier life of it left it.
+        let settings = box_harness::settings(&site, "box-1", "hall-1", 1_000, peer);
+        // The entry that the box's previous process left.
         let member = Member {
             name: "box-1".parse()?,
             hall: "hall-1".parse()?,
@@ -42,9 +41,9 @@
         let swap = client.swap(&[], &[write], &[], ms(500)).await?;
         ensure!(matches!(swap, Swap::Done(_)), "{swap:?}");
         let revision = site.store.revision();
-        let process = Process::start(told, peer)?;
+        let process = Process::start(settings, peer)?;
         wait_until("serving", async || Ok(process.serves().await)).await?;
-        // Boxes that register do so within this time.
+        // A box that registers does so within this time.
         Timer::after(ms(1_500)).await;
         ensure!(site.store.calls("kv-lease") == 1, "registered again");
         ensure!(site.store.revision() == revision, "written to");
@@ -60,15 +59,15 @@
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
-        let machines = started(&executor, &site, 2).await?;
+        let boxes = started(&executor, &site, 2).await?;
         let keys = || site.store.keys(BOXES);
         let key = format!("{BOXES}hall-1/box-1");
         ensure!(keys().contains(&key), "{:?}", keys());
         site.store.remove(&key);
         let since = Instant::now();
         while !keys().contains(&key) {
-            ensure!(since.elapsed() < LOOK_TIME, "not registered again");
-            served(&machines, &[&server], ms(300)).await?;
+            ensure!(since.elapsed() < CHECK_INTERVAL_MAX, "not registered again");
+            served(&boxes, &[&server], ms(300)).await?;
         }
         ensure!(keys().len() == 2, "{:?}", keys());
         Ok(())
@@ -109,11 +108,11 @@
             let boxes = relay()?;
             let _task = executor.spawn(registry.clone().maintain(boxes.clone()));
             wait_until("listed", async || Ok(registry.is_listed())).await?;
-            let before = registry.predecessors();
-            // The first box of a hall tells the others of all boxes; they know those of
-            // their hall until then.
+            let predecessors = registry.predecessors();
+            // The first box of a hall sends the list of all boxes to the others, which
+            // know only those of their hall until then.
             let own = members.iter().filter(|other| other.hall == me.hall).count();
-            match before.is_empty() {
+            match predecessors.is_empty() {
                 true => {
                     let all = async || Ok(boxes.boxes() >= members.len());
                     wait_until("all boxes known", all).await?;
@@ -121,7 +120,7 @@
                 }
                 false => ensure!(boxes.boxes() == own, "{} boxes", boxes.boxes()),
             }
-            orders.push((me.clone(), before));
+            orders.push((me.clone(), predecessors));
             others.push((registry, boxes));
         }
         let first = firsts.first().ok_or_else(|| eyre!("no first box"))?;
@@ -131,18 +130,18 @@
             }
             ensure!(boxes.boxes() == members.len(), "{} boxes", boxes.boxes());
             ensure!(registry.digest() == first.digest(), "another list");
-            ensure!(first.list_for(registry.digest()).is_none(), "told again");
+            ensure!(first.list_for(registry.digest()).is_none(), "sent again");
         }
-        orders.sort_by_key(|(_, before)| before.len());
+        orders.sort_by_key(|(_, predecessors)| predecessors.len());
         let hall = |name: &str| -> Result<Vec<(Member, Vec<Member>)>> {
             let name = name.parse()?;
             let own = orders.iter().filter(|(me, _)| me.hall == name);
             Ok(own.cloned().collect())
         };
         let first = hall("hall-1")?;
-        for (place, (me, before)) in first.iter().enumerate() {
+        for (place, (me, predecessors)) in first.iter().enumerate() {
             let expected: Vec<Member> = first[..place].iter().map(|(me, _)| me.clone()).collect();
-            ensure!(*before == expected, "{}: {before:?}", me.name);
+            ensure!(*predecessors == expected, "{}: {predecessors:?}", me.name);
         }
         let links: Vec<u32> = first.iter().map(|(me, _)| me.link_mbps).collect();
         ensure!(links == [300, 300, 300, 200, 100], "{links:?}");
--- a/crates/relay/tests/relay/sizes.rs
+++ b/crates/relay/tests/relay/sizes.rs
@@ -1,5 +1,5 @@
-//! What a box does with a list of very many servers: each box takes whole lists
-//! when it starts, and its one thread serves nothing meanwhile.
+//! Cost of applying a list of very many servers: each box applies complete lists when it
+//! starts, and its only thread serves nothing meanwhile.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,14 +14,15 @@
 
 use crate::harness::{Result, SERVICE};
 
-/// Servers of the shorter list.
-const FEW: u16 = 500;
-/// How many times as long the other list is.
-const TIMES: u16 = 6;
-/// Times as much work as the shorter list may cost at most: between the 6 of
-/// work in proportion and the 36 of work in proportion to the square.
-const WORK_MAX: f64 = 14.0;
-/// Measurements, of which the least counts: others of the machine disturb it.
+/// Length of the shorter list.
+const SERVERS: u16 = 500;
+/// Length of the longer list, as a multiple of the shorter one.
+const FACTOR: u16 = 6;
+/// Most work for the longer list, as a multiple of the shorter one's: between 6, for
+/// linear cost, and 36, for quadratic cost.
+const WORK_FACTOR_MAX: f64 = 14.0;
+/// Number of measurements. The shortest counts, since other load on the machine makes
+/// some longer.
 const MEASUREMENTS: usize = 3;
 
 fn id<T: std::str::FromStr>(text: &str) -> Result<T> {
@@ -42,13 +43,13 @@
     })
 }
 
-/// Least time in which a box takes over a whole list.
-fn taking(count: u16) -> Result<Duration> {
+/// Shortest time in which a box applies a complete list.
+fn time_to_apply(count: u16) -> Result<Duration> {
     let servers: Vec<Server> = (0..count)
         .map(|number| server(number, SERVICE))
         .collect::<Result<_>>()?;
     let service = id(SERVICE)?;
-    let mut least = Duration::MAX;
+    let mut shortest = Duration::MAX;
     for _ in 0..MEASUREMENTS {
         let (fleet, record) = (Fleet::default(), History::default());
         let begin = Instant::now();
@@ -59,26 +60,26 @@
             fleet.announce(server.clone(), Instant::now());
         }
         let served = fleet.serving(&service).len();
-        least = least.min(begin.elapsed());
+        shortest = shortest.min(begin.elapsed());
         ensure!(served == usize::from(count), "{served} serve");
     }
-    Ok(least)
+    Ok(shortest)
 }
 
 #[test]
-fn a_list_of_many_servers_costs_work_in_proportion() -> Result {
-    let few = taking(FEW)?;
-    let many = taking(FEW * TIMES)?;
+fn the_cost_of_a_list_grows_linearly() -> Result {
+    let few = time_to_apply(SERVERS)?;
+    let many = time_to_apply(SERVERS * FACTOR)?;
     let times = many.as_secs_f64() / few.as_secs_f64();
     ensure!(
-        times < WORK_MAX,
-        "{TIMES} times the servers take {times:.1} times as long: {few:?}, {many:?}"
+        times < WORK_FACTOR_MAX,
+        "{FACTOR} times the servers take {times:.1} times as long: {few:?}, {many:?}"
     );
     Ok(())
 }
 
 #[test]
-fn a_server_that_changes_its_service_leaves_the_old_one() -> Result {
+fn a_server_that_changes_its_service_is_removed_from_the_old_one() -> Result {
     let fleet = Fleet::default();
     let (old, new) = (id("old")?, id("new")?);
     fleet.announce(server(1, "old")?, Instant::now());
--- a/crates/relay/tests/relay/trees.rs
+++ b/crates/relay/tests/relay/trees.rs
@@ -1,10 +1,10 @@
-//! How a hall's boxes hand on the list of all servers.
+//! Distribution of the list of all servers within a hall.
 //!
-//! Pattern: all boxes of a fleet start together and know no server. One box that sends
-//! the whole list to each other box of its hall takes a time that grows with boxes times
-//! servers; of 985 boxes before 10,000 servers 880 were not ready after 24 s. The driver
-//! has no network: bytes are those of the real messages, a box's link is shared by those
-//! that ask it, and halls are played at one, two and four times the size.
+//! All boxes of a fleet start together and know no server. If one box sends the complete
+//! list to every other box of its hall, that takes a time that grows with boxes times
+//! servers: of 985 boxes with 10,000 servers, 880 were not ready after 24 s. The
+//! simulation has no network: the byte counts are those of real messages, a box's link is
+//! shared by its downstream boxes, and halls have one, two and four times the usual size.
 
 use std::collections::HashMap;
 
@@ -18,22 +18,22 @@
 use crate::choice_harness::{id, server};
 use crate::harness::Result;
 
-/// Boxes of a hall of the largest fleet, and its servers.
+/// Boxes in a hall of the largest fleet, and servers of that fleet.
 const BOXES: usize = 197;
 const SERVERS: usize = 10_000;
-/// Bandwidth in Mbit/s of one box in twenty, and of the others.
+/// Bandwidth in Mbit/s of one box in twenty, and of all others.
 const STRONG: u32 = 200;
 const WEAK: u32 = 20;
 const BYTES_PER_MBIT: f64 = 125_000.0;
 
-/// The links of a hall's boxes, the strongest first.
-fn hall(boxes: usize) -> Vec<u32> {
+/// Link bandwidths of a hall's boxes, the strongest first.
+fn links(boxes: usize) -> Vec<u32> {
     let strong = boxes.div_ceil(20);
     let link = |number| if number < strong { STRONG } else { WEAK };
     (0..boxes).map(link).collect()
 }
 
-/// The parts of a list of so many servers, as they are sent.
+/// Sizes of the parts of a list of so many servers, as they are sent.
 fn parts(servers: usize) -> Result<Vec<usize>> {
     let record = History::default();
     for number in 0..servers {
@@ -67,63 +67,63 @@
     Ok(sizes)
 }
 
-/// Seconds until the last box of a hall has a list of so many bytes once the first box
-/// has it, and the most bytes that one box sends.
-fn spread(order: &[u32], bytes: f64) -> Result<(f64, f64)> {
+/// Seconds from when the first box of a hall has a list of so many bytes until the last
+/// box has it, and the most bytes that one box sends.
+fn distribution_time(order: &[u32], bytes: f64) -> Result<(f64, f64)> {
     let parent = |place| tree::parent(order, place).ok_or_else(|| eyre!("{place} asks nobody"));
-    let mut askers: HashMap<usize, usize> = HashMap::new();
+    let mut downstream: HashMap<usize, usize> = HashMap::new();
     for place in 1..order.len() {
-        *askers.entry(parent(place)?).or_default() += 1;
+        *downstream.entry(parent(place)?).or_default() += 1;
     }
     let rate = |place: usize| f64::from(order[place]) * BYTES_PER_MBIT;
     let mut known = vec![0.0; order.len()];
     for place in 1..order.len() {
         let from = parent(place)?;
-        let sent = askers[&from] as f64 * bytes / rate(from);
+        let sent = downstream[&from] as f64 * bytes / rate(from);
         known[place] = known[from] + sent.max(bytes / rate(place));
     }
     let last = known.into_iter().fold(0.0, f64::max);
-    let busiest = askers.into_values().max().unwrap_or(0) as f64 * bytes;
+    let busiest = downstream.into_values().max().unwrap_or(0) as f64 * bytes;
     Ok((last, busiest))
 }
 
-/// Boxes on the longest way to the first one.
+/// Number of hops on the longest path to the first box.
 fn depth(order: &[u32]) -> usize {
-    let way =
+    let path =
         |place| std::iter::successors(tree::parent(order, place), |it| tree::parent(order, *it));
     (0..order.len())
-        .map(|place| way(place).count())
+        .map(|place| path(place).count())
         .max()
         .unwrap_or(0)
 }
 
-/// The time grows with the servers and with the steps, not with boxes times servers.
+/// The time grows with the servers and the hops, not with boxes times servers.
 #[test]
-fn a_list_is_at_the_last_box_within_seconds_at_four_times_the_size() -> Result {
+fn a_list_reaches_all_boxes_within_seconds_at_four_times_the_size() -> Result {
     let mut before: Option<(f64, f64)> = None;
     for times in [1, 2, 4] {
         let bytes: usize = parts(times * SERVERS)?.iter().sum();
-        let order = hall(times * BOXES);
-        let (last, busiest) = spread(&order, bytes as f64)?;
-        // The first box reads the list within a second; the promise is three.
+        let order = links(times * BOXES);
+        let (last, busiest) = distribution_time(&order, bytes as f64)?;
+        // The first box reads the list within a second; the bound is three.
         ensure!(last <= 1.5 * times as f64, "{times}: {last:.2} s");
-        let steps = depth(&order);
-        ensure!(steps <= 3, "{times}: {steps} steps");
-        let step = last / steps as f64;
+        let hops = depth(&order);
+        ensure!(hops <= 3, "{times}: {hops} hops");
+        let hop = last / hops as f64;
         if let Some((time, sent)) = before {
             ensure!(
-                step <= 2.1 * time,
-                "{times}: {step:.2} s a step after {time:.2}"
+                hop <= 2.1 * time,
+                "{times}: {hop:.2} s a hop after {time:.2}"
             );
             ensure!(busiest <= 2.1 * sent, "{times}: {busiest} after {sent}");
         }
-        before = Some((step, busiest));
+        before = Some((hop, busiest));
     }
     Ok(())
 }
 
 #[test]
-fn a_part_is_small_whatever_the_fleet() -> Result {
+fn the_size_of_a_part_is_bounded() -> Result {
     for servers in [1_000, 10_000, 20_000] {
         let sizes = parts(servers)?;
         let most = sizes.iter().max().copied().unwrap_or(0);
@@ -134,30 +134,31 @@
     Ok(())
 }
 
-/// Whoever is lost, each box has another one to ask that comes before it, and none has
-/// to answer many more than its link bears.
+/// Whichever box fails, every other box has a preceding box to follow, and no box gets
+/// many more downstream boxes than its link allows.
 #[test]
-fn a_lost_box_holds_up_nobody() -> Result {
+fn a_failed_box_delays_nobody() -> Result {
     for boxes in [7, 30, BOXES] {
-        let order = hall(boxes);
-        for lost in 0..boxes {
-            let mut askers = vec![0; boxes];
-            for me in (1..boxes).filter(|me| *me != lost) {
-                let asked = tree::upstream_candidates(&order, me);
-                let mut alive = asked.into_iter().filter(|it| *it != lost);
+        let order = links(boxes);
+        for failed in 0..boxes {
+            let mut downstream = vec![0; boxes];
+            for me in (1..boxes).filter(|me| *me != failed) {
+                let candidates = tree::upstream_candidates(&order, me);
+                let mut alive = candidates.into_iter().filter(|it| *it != failed);
                 let Some(first) = alive.next() else {
-                    // Those right behind the first box read the store in its place.
-                    ensure!(me == 1, "{me} of {boxes} asks nobody without {lost}");
+                    // The second box of the order reads the store in place of the first
+                    // one.
+                    ensure!(me == 1, "{me} of {boxes} asks nobody without {failed}");
                     continue;
                 };
                 ensure!(first < me, "{me} asks {first}");
-                askers[first] += 1;
+                downstream[first] += 1;
             }
-            for (place, count) in askers.into_iter().enumerate() {
+            for (place, count) in downstream.into_iter().enumerate() {
                 let most = (order[place] / 10).max(2) as usize + 20;
                 ensure!(
                     count <= most,
-                    "{count} ask {place} of {boxes} without {lost}"
+                    "{count} ask {place} of {boxes} without {failed}"
                 );
             }
         }
