--- a/crates/relay/tests/platform/answer.rs
+++ b/crates/relay/tests/platform/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of servers, what clients get of them, and refusals.
+//! Answers of servers, as decoded and as encoded for clients, and refusals.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use tidepier_platform::answer::{self, Length};
 use tidepier_platform::{monitoring, refusal};
 
-const ANSWER: &str = "HTTP/1.1 200 Fine
+const SERVER_ANSWER: &str = "HTTP/1.1 200 Fine
 Attempt-Id: 1
 Response-Seal: abc
 Content-Type: text/event-stream
@@ -22,8 +22,8 @@
 Content-Length: 10";
 
 #[test]
-fn an_answer_is_read() {
-    let answer = answer::decode(&head(ANSWER));
+fn an_answer_is_decoded() {
+    let answer = answer::decode(&head(SERVER_ANSWER));
     assert_eq!(answer.status, 200);
     assert_eq!(answer.attempt.as_deref(), Some("1"));
     assert!(answer.signed);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_bare_answer_says_nothing() {
+fn a_minimal_answer_has_no_optional_fields() {
     let answer = answer::decode(&head("HTTP/1.1 500 Oops\nConnection: Close"));
     assert_eq!(answer.status, 500);
     assert!(!answer.signed && !answer.not_run && answer.close);
@@ -50,13 +50,13 @@
 }
 
 #[test]
-fn a_misdirected_request_has_not_run() {
+fn a_misdirected_request_was_not_executed() {
     assert!(answer::decode(&head("HTTP/1.1 421 Elsewhere\nInstance-Id: i-2")).not_run);
     assert!(!answer::decode(&head("HTTP/1.1 503 Full")).not_run);
 }
 
 #[test]
-fn times_are_read_in_each_way_of_writing() {
+fn all_formats_of_times_are_decoded() {
     let keep_alive = |value: &str| {
         answer::decode(&head(&format!("HTTP/1.1 200 OK\nKeep-Alive: {value}"))).keep_alive
     };
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_server_says_that_it_leaves_in_one_way() {
+fn only_one_value_says_that_a_server_is_leaving() {
     let leaving = |field: &str| answer::decode(&head(&format!("HTTP/1.1 200 OK\n{field}"))).leaving;
     assert!(leaving("Server-Leaving: 1"));
     assert!(leaving("server-leaving:  1 "));
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn rest_is_asked_for_by_a_503_alone() {
+fn only_a_503_requests_a_back_off() {
     let rest = |text: &str| answer::decode(&head(&format!("HTTP/1.1 {text}"))).requested_backoff();
     assert_eq!(
         rest("503 Full\nRetry-After: 2.5"),
@@ -133,15 +133,15 @@
 }
 
 #[test]
-fn malformed_loads_are_absent() {
+fn malformed_loads_count_as_absent() {
     for load in ["3,0", "3,0,8,1", "a,b,c", ""] {
         let answer = answer::decode(&head(&format!("HTTP/1.1 200 OK\nServer-Load: {load}")));
         assert_eq!(answer.load, None, "{load}");
     }
 }
 
-/// That a server leaves is passed on: the platform's pages say so.
-const PASSED_ON: &str = "HTTP/1.1 200 OK
+/// `Server-Leaving` is passed on, as the platform's documentation requires.
+const CLIENT_HEAD: &str = "HTTP/1.1 200 OK
 Attempt-Id: 1
 Response-Seal: abc
 Content-Type: text/event-stream
@@ -150,25 +150,25 @@
 ";
 
 #[test]
-fn a_client_gets_the_answer_without_what_is_internal() {
-    let sent = head(ANSWER);
+fn internal_fields_are_removed_from_answers() {
+    let sent = head(SERVER_ANSWER);
     let client = |length, close| written(|out| answer::encode(&sent, length, close, out));
     assert_eq!(
         client(Length::Known(10), false),
-        format!("{PASSED_ON}Content-Length: 10\n\n")
+        format!("{CLIENT_HEAD}Content-Length: 10\n\n")
     );
     assert_eq!(
         client(Length::Chunked, true),
-        format!("{PASSED_ON}Transfer-Encoding: chunked\nConnection: close\n\n")
+        format!("{CLIENT_HEAD}Transfer-Encoding: chunked\nConnection: close\n\n")
     );
     assert_eq!(
         client(Length::UntilClose, false),
-        format!("{PASSED_ON}Connection: close\n\n")
+        format!("{CLIENT_HEAD}Connection: close\n\n")
     );
 }
 
 #[test]
-fn answers_without_a_body_tell_no_length() {
+fn answers_without_a_body_have_no_length() {
     let sent = head("HTTP/1.1 204 Nothing");
     assert_eq!(
         written(|out| answer::encode(&sent, Length::Known(0), false, out)),
@@ -177,10 +177,10 @@
 }
 
 #[test]
-fn a_refusal_tells_why_and_when_to_come_back() {
-    let wait = Some(Duration::from_micros(1_250_100));
+fn a_refusal_has_a_reason_and_a_retry_delay() {
+    let retry_delay = Some(Duration::from_micros(1_250_100));
     assert_eq!(
-        written(|out| refusal::encode(503, "a1", wait, "no \"room\"", true, out)),
+        written(|out| refusal::encode(503, "a1", retry_delay, "no \"room\"", true, out)),
         "HTTP/1.1 503 Service Unavailable
 Attempt-Id: a1
 Retry-After: 1.251
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn waits_are_written_with_up_to_three_decimals() {
+fn retry_delays_have_at_most_three_decimals() {
     for (ms, text) in [
         (0, "0"),
         (250, "0.25"),
@@ -205,19 +205,19 @@
         (10_000, "10"),
         (1005, "1.005"),
     ] {
-        let wait = Some(Duration::from_millis(ms));
-        let refusal = written(|out| refusal::encode(429, "", wait, "x", false, out));
+        let retry_delay = Some(Duration::from_millis(ms));
+        let refusal = written(|out| refusal::encode(429, "", retry_delay, "x", false, out));
         assert!(
             refusal.contains(&format!("\nRetry-After: {text}\n")),
             "{refusal}"
         );
         let read = answer::decode(&head(refusal.split("\n\n").next().expect("a head")));
-        assert_eq!(read.retry_after, wait);
+        assert_eq!(read.retry_after, retry_delay);
     }
 }
 
 #[test]
-fn health_and_reports_are_read() {
+fn health_and_reports_are_decoded() {
     let health = monitoring::health(&head(
         "HTTP/1.1 200 OK\nInstance-Id: i-1\nServer-Load: 1,2,3",
     ));
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn lists_of_kept_parts_are_read() {
+fn lists_of_cached_parts_are_decoded() {
     let list = br#"{"epoch":3,"next_token":9,"held":[["","5c1e07a2",800,"m"],["","no id",1,"m"],
         ["","91bd3f06",410,"m"]],"more":1}"#;
     let parts = monitoring::cached_parts(list).expect("valid");
--- a/crates/relay/tests/platform/catalog.rs
+++ b/crates/relay/tests/platform/catalog.rs
@@ -1,4 +1,4 @@
-//! What lies in the platform's store: configurations and announcements.
+//! Entries of the platform's store: configurations and servers' advertisements.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 "tenants":[{"name":"acme","api_keys":["k1","k2"],"priority":1},{"name":"none"}]}"#;
 
 #[test]
-fn a_configuration_is_read() {
+fn a_configuration_is_decoded() {
     let catalog = catalog::decode(CONFIG.as_bytes()).expect("valid");
     assert_eq!(catalog.version.0, 12);
     let chat = catalog.route("shop.example", "/chat/x").expect("a route");
@@ -73,32 +73,32 @@
 }
 
 #[test]
-fn absent_accounts_differ_from_none() {
+fn absent_accounts_differ_from_an_empty_list() {
     let accounts = |json: &str| catalog::decode(json.as_bytes()).expect("valid").accounts;
     assert!(accounts(r#"{"version":1}"#).is_none());
     assert!(accounts(r#"{"version":1,"tenants":[]}"#).is_some_and(|accounts| accounts.is_empty()));
 }
 
-fn refused(fields: &str) -> String {
+fn decode_error(fields: &str) -> String {
     let json = format!(r#"{{"version":1,"routes":[{{"name":"r-x",{fields}}}]}}"#);
-    let refused = catalog::decode(json.as_bytes());
-    refused.expect_err("invalid").to_string()
+    let decode_error = catalog::decode(json.as_bytes());
+    decode_error.expect_err("invalid").to_string()
 }
 
 #[test]
-fn a_route_that_cannot_be_understood_is_named() {
+fn errors_name_the_invalid_route() {
     let place = r#""host":"a","path_prefix":"/""#;
     assert_eq!(
-        refused(&format!(r#"{place},"type":"batch","service":"s""#)),
+        decode_error(&format!(r#"{place},"type":"batch","service":"s""#)),
         "route \"r-x\": type \"batch\" is unknown"
     );
     assert_eq!(
-        refused(&format!(r#"{place},"service":"s""#)),
+        decode_error(&format!(r#"{place},"service":"s""#)),
         "route \"r-x\": type \"\" is unknown"
     );
     for nobody in ["", r#","service":null"#, r#","traffic_split":[]"#] {
         assert_eq!(
-            refused(&format!(r#"{place},"type":"streaming"{nobody}"#)),
+            decode_error(&format!(r#"{place},"type":"streaming"{nobody}"#)),
             "route \"r-x\": no service takes its requests"
         );
     }
@@ -106,7 +106,7 @@
         r#""service":"S S""#,
         r#""traffic_split":[{"service":"S S","weight":1}]"#,
     ] {
-        let why = refused(&format!(r#"{place},"type":"streaming",{named}"#));
+        let why = decode_error(&format!(r#"{place},"type":"streaming",{named}"#));
         assert!(
             why.starts_with("route \"r-x\": name of a service: found \"S S\""),
             "{why}"
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn broken_configurations_are_refused() {
+fn malformed_configurations_are_rejected() {
     let whole = r#""host":"a","path_prefix":"/","type":"streaming","service":"s""#;
     let json = |json: &str| matches!(catalog::decode(json.as_bytes()), Err(Invalid::Json(_)));
     let route = |fields: &str| json(&format!(r#"{{"version":1,"routes":[{{{fields}}}]}}"#));
@@ -134,7 +134,7 @@
 "slots":64,"state":"ready","cold_remaining_ms":1500,"phase":"mixed","models":[],"sequence":4}"#;
 
 #[test]
-fn an_announcement_is_read() {
+fn an_advertisement_is_decoded() {
     let server = server::decode("i-1", ENTRY.as_bytes()).expect("valid");
     assert_eq!(
         (server.id.as_str(), server.service.as_str()),
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn broken_announcements_are_refused() {
+fn malformed_advertisements_are_rejected() {
     use tidepier_platform::server::Invalid;
     let cases = [
         (r#""ready""#, r#""gone""#, "unknown variant `gone`"),
@@ -161,9 +161,12 @@
         ("1500", "-1", "-1 ms is no length of time"),
     ];
     for (from, to, why) in cases {
-        let refused = server::decode("i-1", ENTRY.replace(from, to).as_bytes());
-        assert!(matches!(&refused, Err(Invalid::Json(_))), "{refused:?}");
-        let found = refused.expect_err("invalid").to_string();
+        let decode_error = server::decode("i-1", ENTRY.replace(from, to).as_bytes());
+        assert!(
+            matches!(&decode_error, Err(Invalid::Json(_))),
+            "{decode_error:?}"
+        );
+        let found = decode_error.expect_err("invalid").to_string();
         assert!(found.contains(why), "{found}");
     }
     let unnamed = server::decode("", ENTRY.as_bytes());
@@ -171,7 +174,7 @@
 }
 
 #[test]
-fn keys_tell_the_server() {
+fn server_ids_are_decoded_from_keys() {
     assert_eq!(key::server_id("servers/i-1"), Some("i-1"));
     assert_eq!(key::server_id("servers/"), None);
     assert_eq!(key::server_id(key::CONFIG), None);
@@ -179,7 +182,7 @@
 }
 
 #[test]
-fn what_cold_servers_bear_and_homes_are_read() {
+fn cold_limits_and_allowed_regions_are_decoded() {
     let text = r#"{"version":1,"routes":[
 {"name":"r-a","host":"a","path_prefix":"/","type":"idempotent","service":"s","allowed_regions":["north","far"]},
 {"name":"r-b","host":"b","path_prefix":"/","type":"idempotent","service":"s","allowed_regions":[]}],
@@ -216,7 +219,7 @@
 }
 
 #[test]
-fn a_birth_is_a_whole_number() {
+fn a_start_time_is_an_integer() {
     let born = |told: &str| {
         let entry = ENTRY.replace("\"sequence\":4", &format!("\"sequence\":4,\"born\":{told}"));
         server::decode("i-1", entry.as_bytes()).map(|server| server.born)
@@ -232,7 +235,7 @@
 }
 
 #[test]
-fn keys_tell_the_emptied_hall() {
+fn emptied_halls_are_decoded_from_keys() {
     let hall = "hall-1".parse().expect("a name");
     assert_eq!(key::emptied(&hall), "op/evacuate/hall-1");
     assert_eq!(key::emptied_hall("op/evacuate/hall-1"), Some("hall-1"));
@@ -242,17 +245,17 @@
 }
 
 proptest! {
-    /// Whatever lies under a server's key, reading it ends, and says either that it
-    /// names no server or which one.
+    /// Decoding of arbitrary bytes ends, with a value or with an error.
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn any_bytes_are_decoded_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = server::decode("i-1", &bytes);
         let _ = catalog::decode(&bytes);
     }
 
-    /// The same for an entry in which some bytes are others.
+    /// The same for a valid entry in which some bytes are changed; the id is that of the
+    /// key.
     #[test]
-    fn any_change_of_an_entry_is_read_or_refused(
+    fn any_changed_entry_is_decoded_or_rejected(
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6),
     ) {
         let mut bytes = ENTRY.as_bytes().to_vec();
--- a/crates/relay/tests/platform/common.rs
+++ b/crates/relay/tests/platform/common.rs
@@ -1,4 +1,4 @@
-//! Heads for tests, read from a real connection as in a box.
+//! Message heads for tests, read from a real connection as in a box.
 
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -7,10 +7,10 @@
 use smol::Async;
 use tidepier_h1::{Conn, Head};
 
-/// Most bytes of a head in these tests.
+/// Largest head in these tests, in bytes.
 const HEAD_BYTES: usize = 64 << 10;
 
-/// The head that a peer reads when `text` is sent, lines joined by `\n`.
+/// Returns the head that a peer reads when `text` is sent, with `\n` as line breaks.
 pub(crate) fn head(text: &str) -> Head {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
     let address = listener.local_addr().expect("bound");
@@ -26,7 +26,7 @@
     })
 }
 
-/// Writes a head with `encode` and returns it as text with plain line ends.
+/// Returns the head that `encode` writes, as text with `\n` as line breaks.
 pub(crate) fn written(encode: impl FnOnce(&mut Vec<u8>)) -> String {
     let mut out = Vec::new();
     encode(&mut out);
--- a/crates/relay/tests/platform/main.rs
+++ b/crates/relay/tests/platform/main.rs
@@ -1,6 +1,6 @@
-//! The adapter to the users' platform: heads, what lies in the store, and the
-//! store's client. The tests stand with the adapter's user, which also has the
-//! recorder that its counters are read from.
+//! Tests of the adapter to the users' platform: message heads, entries of the store, and
+//! the store's client. They are in this crate because it has the recorder from which the
+//! adapter's counters are read.
 
 mod answer;
 mod catalog;
--- a/crates/relay/tests/platform/request.rs
+++ b/crates/relay/tests/platform/request.rs
@@ -1,4 +1,4 @@
-//! Requests of clients, and what servers get of them.
+//! Requests of clients, as decoded and as encoded for servers.
 
 use std::time::Duration;
 
@@ -18,11 +18,11 @@
 Authorization: bEARER k-1
 Last-Event-Id: 17";
 
-fn decoded(text: &str) -> Request {
+fn decode(text: &str) -> Request {
     request::decode(&head(text)).expect("valid")
 }
 
-fn refused(text: &str) -> Invalid {
+fn decode_error(text: &str) -> Invalid {
     request::decode(&head(text)).expect_err("invalid")
 }
 
@@ -43,8 +43,8 @@
 }
 
 #[test]
-fn a_chat_is_read() {
-    let request = decoded(CHAT);
+fn a_request_with_a_prompt_is_decoded() {
+    let request = decode(CHAT);
     assert_eq!(&*request.attempt, "00ff00ff00ff00ff");
     assert_eq!(&*request.host, "shop.example");
     assert_eq!(&*request.path, "/chat/a/v1");
@@ -64,8 +64,8 @@
 }
 
 #[test]
-fn a_prompt_of_two_parts_shares_the_first() {
-    let request = decoded("GET / HTTP/1.1\nHost: a\nAttempt-Id: 1\nPrompt-Prefix: 5:10,6:20");
+fn the_first_of_two_parts_is_the_subject() {
+    let request = decode("GET / HTTP/1.1\nHost: a\nAttempt-Id: 1\nPrompt-Prefix: 5:10,6:20");
     let prompt = request.prompt.expect("a prompt");
     assert_eq!(prompt.subject(), Some(&Part { id: 5, tokens: 10 }));
     assert_eq!((prompt.input, prompt.output), (30, 0));
@@ -73,7 +73,7 @@
 
 #[test]
 fn long_part_ids_are_folded() {
-    let request = decoded(
+    let request = decode(
         "GET / HTTP/1.1\nHost: a\nAttempt-Id: 1\n\
          Prompt-Prefix: 00000000000000010000000000000002:10,00000000000000010000000000000003:9",
     );
@@ -83,7 +83,7 @@
 
 #[test]
 fn a_plain_request_has_no_prompt() {
-    let request = decoded("GET /a/ HTTP/1.1\nHost: a\nAttempt-Id: 1");
+    let request = decode("GET /a/ HTTP/1.1\nHost: a\nAttempt-Id: 1");
     assert!(request.prompt.is_none());
     assert!(request.key.is_none());
     assert!(request.client_timeout.is_none());
@@ -92,24 +92,24 @@
 
 #[test]
 fn absolute_targets_name_the_host() {
-    let request = decoded("GET HTTP://Other.example:81/p/q?z HTTP/1.1\nHost: a\nAttempt-Id: 1");
+    let request = decode("GET HTTP://Other.example:81/p/q?z HTTP/1.1\nHost: a\nAttempt-Id: 1");
     assert_eq!(&*request.host, "other.example");
     assert_eq!(&*request.path, "/p/q");
-    let bare = decoded("GET http://b?z HTTP/1.1\nHost: a\nAttempt-Id: 1");
+    let bare = decode("GET http://b?z HTTP/1.1\nHost: a\nAttempt-Id: 1");
     assert_eq!((&*bare.host, &*bare.path), ("b", "/"));
 }
 
 #[test]
-fn ports_are_cut_off_addresses() {
-    let host = |host: &str| decoded(&format!("GET / HTTP/1.1\nHost: {host}\nAttempt-Id: 1")).host;
+fn ports_are_removed_from_hosts() {
+    let host = |host: &str| decode(&format!("GET / HTTP/1.1\nHost: {host}\nAttempt-Id: 1")).host;
     assert_eq!(&*host("[::1]:80"), "[::1]");
     assert_eq!(&*host("[::1]"), "[::1]");
     assert_eq!(&*host("10.0.0.1:80"), "10.0.0.1");
 }
 
 #[test]
-fn unreadable_optional_fields_count_as_absent() {
-    let request = decoded(
+fn malformed_optional_fields_count_as_absent() {
+    let request = decode(
         "GET / HTTP/1.1\nHost: a\nAttempt-Id: 1\nDeadline-Ms: soon\nToken-Usage: many\n\
          Prompt-Prefix: xyz:1\nLast-Event-Id: -\nAuthorization: Basic abc",
     );
@@ -117,47 +117,50 @@
     assert!(request.key.is_none());
     assert!(request.client_timeout.is_none());
     assert!(request.resume_after.is_none());
-    let negative = decoded("GET / HTTP/1.1\nHost: a\nAttempt-Id: 1\nDeadline-Ms: -5");
+    let negative = decode("GET / HTTP/1.1\nHost: a\nAttempt-Id: 1\nDeadline-Ms: -5");
     assert!(negative.client_timeout.is_none());
 }
 
 #[test]
-fn what_cannot_be_routed_is_refused() {
+fn requests_without_a_route_are_invalid() {
     assert_eq!(
-        refused("GET / HTTP/1.1\nAttempt-Id: 1"),
+        decode_error("GET / HTTP/1.1\nAttempt-Id: 1"),
         Invalid::MissingHost
     );
     assert_eq!(
-        refused("GET / HTTP/1.1\nHost: :80\nAttempt-Id: 1"),
+        decode_error("GET / HTTP/1.1\nHost: :80\nAttempt-Id: 1"),
         Invalid::MissingHost
     );
     assert_eq!(
-        refused("GET / HTTP/1.1\nHost: a\nHost: b\nAttempt-Id: 1"),
+        decode_error("GET / HTTP/1.1\nHost: a\nHost: b\nAttempt-Id: 1"),
         Invalid::TwoHosts
     );
-    assert_eq!(refused("GET / HTTP/1.1\nHost: a"), Invalid::MissingAttempt);
     assert_eq!(
-        refused("GET / HTTP/1.1\nHost: a\nAttempt-Id: "),
+        decode_error("GET / HTTP/1.1\nHost: a"),
         Invalid::MissingAttempt
     );
     assert_eq!(
-        refused("OPTIONS * HTTP/1.1\nHost: a\nAttempt-Id: 1"),
+        decode_error("GET / HTTP/1.1\nHost: a\nAttempt-Id: "),
+        Invalid::MissingAttempt
+    );
+    assert_eq!(
+        decode_error("OPTIONS * HTTP/1.1\nHost: a\nAttempt-Id: 1"),
         Invalid::BadTarget
     );
     assert_eq!(
-        refused("GET ftp://a/ HTTP/1.1\nHost: a\nAttempt-Id: 1"),
+        decode_error("GET ftp://a/ HTTP/1.1\nHost: a\nAttempt-Id: 1"),
         Invalid::BadTarget
     );
     let longest = "x".repeat(128);
-    decoded(&format!("GET / HTTP/1.1\nHost: a\nAttempt-Id: {longest}"));
+    decode(&format!("GET / HTTP/1.1\nHost: a\nAttempt-Id: {longest}"));
     assert_eq!(
-        refused(&format!("GET / HTTP/1.1\nHost: a\nAttempt-Id: {longest}x")),
+        decode_error(&format!("GET / HTTP/1.1\nHost: a\nAttempt-Id: {longest}x")),
         Invalid::LongAttempt
     );
 }
 
 #[test]
-fn a_server_gets_the_request_and_what_the_fleet_adds() {
+fn the_fleets_fields_are_added_to_forwarded_requests() {
     let (server, account) = (server(), "acme".parse().expect("a name"));
     let forward = Forward {
         left: Some(Duration::from_micros(1_999_900)),
@@ -191,7 +194,7 @@
 }
 
 #[test]
-fn fields_of_one_connection_and_of_the_fleet_are_not_passed_on() {
+fn hop_by_hop_and_fleet_fields_are_not_forwarded() {
     let sent = head(
         "GET http://a/x HTTP/1.1
 Host: a
@@ -231,7 +234,7 @@
 }
 
 #[test]
-fn a_server_has_at_least_a_millisecond() {
+fn the_forwarded_deadline_is_at_least_a_millisecond() {
     let server = server();
     let forward = Forward {
         left: Some(Duration::from_micros(10)),
@@ -243,12 +246,12 @@
 }
 
 #[test]
-fn what_is_forwarded_reads_the_same() {
+fn a_forwarded_request_decodes_as_the_original() {
     let chat = head(CHAT);
     let server = server();
     let text = written(|out| request::encode(&chat, &forward(&server), out));
-    let again = decoded(text.trim_end());
-    let first = decoded(CHAT);
+    let again = decode(text.trim_end());
+    let first = decode(CHAT);
     assert_eq!(again.attempt, first.attempt);
     assert_eq!((again.host, again.path), (first.host, first.path));
     let parts = |prompt: Option<tidepier_core::request::Prompt>| prompt.map(|p| p.parts);
@@ -257,7 +260,7 @@
 }
 
 #[test]
-fn a_client_cannot_take_a_field_out_that_the_adapter_needs() {
+fn protected_fields_cannot_be_listed_in_connection() {
     let sent = |connection: &str| {
         format!("GET / HTTP/1.1\nHost: a\nAttempt-Id: 1\nConnection: {connection}\nX-Hop: 1")
     };
@@ -276,19 +279,19 @@
         ("Tenant", "Tenant"),
         ("Target-Instance", "Target-Instance"),
     ] {
-        let found = refused(&sent(connection));
+        let found = decode_error(&sent(connection));
         assert_eq!(found, Invalid::HiddenField(hidden), "{connection}");
     }
     assert_eq!(
-        refused(&sent("Attempt-Id")).to_string(),
+        decode_error(&sent("Attempt-Id")).to_string(),
         "Connection lists Attempt-Id"
     );
-    // What concerns the connection may be listed, known or not.
+    // Fields that apply to the connection may be listed, known ones and others.
     for connection in [
         "close",
         "Keep-Alive, X-Hop",
         "TE, Upgrade, Transfer-Encoding",
     ] {
-        decoded(&sent(connection));
+        decode(&sent(connection));
     }
 }
