--- a/crates/relay/src/peer/responder.rs
+++ b/crates/relay/src/peer/responder.rs
@@ -163,8 +163,8 @@
 }
 
 /// Holds a long-poll request until there is a change and this box can confirm that its
-/// data is current; returns for how long it was held. `last_sent`: the count of changes that the last
-/// answer included.
+/// data is current; returns for how long it was held. `last_sent`: the count of changes
+/// that the last answer included.
 async fn hold_request(follower: &Follower, request: &Request, last_sent: Option<u64>) -> Duration {
     let Some(options) = &request.options else {
         return Duration::ZERO;
--- a/crates/relay/src/peer/traffic.rs
+++ b/crates/relay/src/peer/traffic.rs
@@ -224,8 +224,8 @@
     }
 }
 
-/// Sends requests to one box until it fails or this box is no longer responsible for
-/// asking it.
+/// Exchanges reports with one box until it fails, or until this box is no longer the one
+/// that has to exchange reports with it.
 async fn follow_hub(
     relay: &Relay,
     member: &Member,
--- a/crates/relay/src/peer/upstream.rs
+++ b/crates/relay/src/peer/upstream.rs
@@ -141,8 +141,8 @@
 }
 
 /// Time for which a box that failed with `error` is skipped; this box started at
-/// `started`. `in_grace_period`: the store is unreachable, or was until recently, so that the
-/// other box will soon be able to confirm its data.
+/// `started`. `in_grace_period`: the store is unreachable, or was until recently, so that
+/// the other box will soon be able to confirm its data.
 fn skip_time(error: &Error, in_grace_period: bool, started: Instant) -> Duration {
     match error {
         _ if in_grace_period => UNCONFIRMED_SKIP_TIME,
