--- a/crates/core/src/answer.rs
+++ b/crates/core/src/answer.rs
@@ -1,69 +1,69 @@
-//! What a backend server said about one request.
+//! A backend server's answer to one request.
 
 use std::time::Duration;
 
 use tidepier_ids as ids;
 
-/// Status by which a server turns a request away.
-const TURNED_AWAY: u16 = 503;
+/// Status of a rejection by which a server takes no requests at present.
+const REJECTED: u16 = 503;
 
 /// The head of a server's answer.
 #[derive(Debug, Clone, Default)]
 pub struct Answer {
     /// HTTP status code.
     pub status: u16,
-    /// The attempt that the server answers.
+    /// The id of the attempt that the server answers.
     pub attempt: Option<Box<str>>,
     /// Whether the server signed the answer as its own work.
     pub signed: bool,
-    /// Whether the server states that the request did not run there and never
-    /// will.
+    /// Whether the server states that the request did not run there and never will.
     pub not_run: bool,
-    /// Whether the server says that it leaves: it takes nothing new.
+    /// Whether the server states that it is leaving: it takes no new requests.
     pub leaving: bool,
     /// The server that answers, where it names itself.
     pub server: Option<Box<str>>,
-    /// How busy the server is, where it reports that.
+    /// The server's load, where it reports that.
     pub load: Option<Load>,
-    /// When the server asks not to be tried before.
+    /// How long the server asks the sender to wait before the next request.
     pub retry_after: Option<Duration>,
-    /// How long the server keeps the connection open while it rests.
+    /// How long the server keeps an idle connection open.
     pub keep_alive: Option<Duration>,
-    /// Whether the connection ends with this answer.
+    /// Whether the server closes the connection after this answer.
     pub close: bool,
 }
 
 impl Answer {
-    /// For how long the server wants nothing from who asked it. Only a 503 says that
-    /// of the server; what a 429 or an error of its own asks for is the request's.
+    /// How long the server asks this sender for a back-off. Only a 503 concerns the
+    /// server as a whole; a delay that a 429 or an error of the server's own asks for
+    /// concerns the request alone.
     pub fn requested_backoff(&self) -> Option<Duration> {
         let asked = self.retry_after.filter(|time| !time.is_zero());
-        asked.filter(|_| self.status == TURNED_AWAY)
+        asked.filter(|_| self.status == REJECTED)
     }
 }
 
-/// How busy a server says it is.
+/// A server's load as it reports it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Load {
     /// Requests that it works on.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests that wait in its queue.
     pub waiting: u32,
-    /// Requests that it works on at once.
+    /// Requests that it can work on at once.
     pub slots: u32,
 }
 
-/// One event of an answer that comes as a series of them.
+/// One event of an answer that is a stream of events.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// The request that it answers.
+    /// The request that it belongs to.
     pub request: ids::Request,
-    /// Its place in the series, from 0.
+    /// Its index in the stream, from 0.
     pub offset: ids::Offset,
     /// The text that it adds to the answer.
     pub text: String,
-    /// What came, as the interface passes it on.
+    /// The event's data as received, to be passed on unchanged.
     pub data: String,
-    /// Whether the answer is whole with it.
+    /// Whether it completes the answer.
     pub last: bool,
 }
--- a/crates/core/src/era.rs
+++ b/crates/core/src/era.rs
@@ -1,21 +1,21 @@
 //! The eras of a store, and its revisions.
 //!
-//! A store may come back from an older copy of itself. What it had acknowledged since
-//! then is gone, and it gives out the same revisions again for other changes. Each such
-//! return begins another era, which the store tells with its answers. A store that tells
-//! none has one era.
+//! A store may be restored from an older backup of itself. What it acknowledged after
+//! that copy was made is lost, and it assigns the same revisions again to other
+//! changes. Each such restore begins a new era, which the store states in its answers.
+//! A store that states no eras has only one.
 //!
 //! Invariants:
 //!
-//! * Two revisions are ordered by their eras first. The number of a revision says
-//!   nothing beside one of another era, and [`Revision`] gives it away for the store's
-//!   own calls and for messages alone.
-//! * No answer of a former era is delivered once a later one was heard of ([`Tracker`]).
+//! * Revisions are ordered by era first. The number of a revision means nothing next to
+//!   one of another era; [`Revision`] exposes it only for calls to the store and for
+//!   messages.
+//! * No answer of a stale era is delivered once a later one was observed ([`Tracker`]).
 
 use std::cell::Cell;
 use std::fmt;
 
-/// One history of a store.
+/// The time between two restores of a store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Era(pub u64);
 
@@ -25,22 +25,22 @@
     }
 }
 
-/// One state of a store; every change makes the next. The default stands for no state:
-/// that of an item which is absent.
+/// One state of a store; every change makes the next one. The default means no state,
+/// and stands for the revision of an absent item.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Revision {
-    // Before the number, as the order is derived.
+    // Before the number, because the order is derived.
     era: Era,
     number: u64,
 }
 
 impl Revision {
-    /// The revision with a number of an era.
+    /// The revision with this number in an era.
     pub const fn new(era: Era, number: u64) -> Self {
         Self { era, number }
     }
 
-    /// The revision with a number of a store that tells no era.
+    /// The revision with this number of a store that states no eras.
     pub const fn of(number: u64) -> Self {
         Self::new(Era(0), number)
     }
@@ -50,18 +50,18 @@
         self.era
     }
 
-    /// Its number, as the store and messages carry it.
+    /// Its number, as used in calls to the store and in messages.
     pub const fn number(self) -> u64 {
         self.number
     }
 
-    /// Whether it stands for no state.
+    /// Whether it is no state of a store.
     pub const fn is_none(self) -> bool {
         self.number == 0
     }
 }
 
-/// The number, after the era where the store tells one.
+/// The number, preceded by the era where the store states one.
 impl fmt::Display for Revision {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.era {
@@ -71,9 +71,9 @@
     }
 }
 
-/// Why an answer of a store is not delivered: it is of a former era.
+/// An answer of a store is not delivered, because it is of a stale era.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the store's answer is of era {era}, and {newest} was heard of")]
+#[error("the store's answer is of the stale era {era}; the newest is {newest}")]
 pub struct StaleEra {
     /// The answer's era.
     pub era: Era,
@@ -81,7 +81,7 @@
     pub newest: Era,
 }
 
-/// The newest era that any answer of a store told.
+/// The newest era that any answer of a store stated.
 #[derive(Debug, Default)]
 pub struct Tracker {
     newest: Cell<Era>,
@@ -93,12 +93,12 @@
         self.newest.get()
     }
 
-    /// Records the era that an answer tells; `None` where it tells none, which is then
-    /// the newest one. Returns the era that the answer is of.
+    /// Records the era that an answer states; `None` if it states none, and so belongs
+    /// to the newest one. Returns the era of the answer.
     ///
     /// # Errors
     ///
-    /// A later era was heard of.
+    /// A later era was observed before.
     pub fn observe(&self, told: Option<Era>) -> Result<Era, StaleEra> {
         let newest = self.newest.get();
         let era = told.unwrap_or(newest);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,17 +1,18 @@
-//! The neutral model that requests are decided on.
+//! The neutral model on which all decisions on requests are made.
 //!
-//! An interface that callers, backend servers or the platform speak is decoded
-//! once, at the edge of a process, into the types of this crate. Code that
-//! places, limits, retries or refuses requests works on these types alone and
-//! knows no header, field or key of any interface.
+//! The interfaces of clients, backend servers and the platform are decoded once, at the
+//! edge of a process, into the types of this crate. Code that places, limits, retries
+//! or refuses requests uses these types only, and knows no header, field or key of any
+//! interface.
 //!
 //! * [`catalog`]: what the operator declared: routes, services, accounts.
 //! * [`era`]: the eras of a store, and its revisions.
 //! * [`rollout`]: the operator's order to move a service to another release.
-//! * [`server`]: one backend server as it announces itself.
+//! * [`server`]: one backend server, as it advertises itself.
 //! * [`request`]: one request of a client.
-//! * [`work`]: one admitted request, as it is placed, queued and resumed.
-//! * [`answer`]: what a backend server said about one request.
+//! * [`work`]: one admitted request for a model engine, as it is placed, queued,
+//!   retried and resumed.
+//! * [`answer`]: a backend server's answer to one request.
 //! * [`store`]: a key-value store of the platform.
 
 pub mod answer;
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -8,7 +8,7 @@
 /// One attempt of a client to have a request answered.
 #[derive(Debug, Clone, Default)]
 pub struct Request {
-    /// The client's id of this attempt; passed on to the server.
+    /// The client's id of this attempt; it is passed on to the server.
     pub attempt: Box<str>,
     /// Host name, without a port, in lower case.
     pub host: Box<str>,
@@ -16,26 +16,27 @@
     pub path: Box<str>,
     /// API key, if one was sent.
     pub key: Option<Box<str>>,
-    /// How long the client waits from the arrival of the head.
+    /// How long the client waits, counted from the arrival of the head.
     pub client_timeout: Option<Duration>,
-    /// What is asked of a model, if anything.
+    /// The prompt, if the request is for a model.
     pub prompt: Option<Prompt>,
-    /// The last event of a broken stream that the client has, when it resumes.
+    /// When the client resumes a stream that broke off: the last event that it
+    /// received.
     pub resume_after: Option<u64>,
 }
 
 /// A prompt and the expected length of its completion.
 #[derive(Debug, Clone, Default)]
 pub struct Prompt {
-    /// Tokens of the prompt.
+    /// Length of the prompt, in tokens.
     pub input: u32,
-    /// Most tokens of the completion.
+    /// Longest completion, in tokens.
     pub output: u32,
-    /// The client's estimate of the completion in tokens; right in the median,
-    /// often far off.
+    /// The client's estimate of the completion's length, in tokens; accurate in the
+    /// median, often far off for a single request.
     pub hint: Option<u32>,
-    /// The prompt's parts in order. All but the last are shared with other
-    /// requests; the last is the request's own or its session's.
+    /// The prompt's parts in order. All but the last are shared with other requests;
+    /// the last belongs to the request or its session alone.
     pub parts: Vec<Part>,
 }
 
@@ -46,7 +47,7 @@
         &self.parts[..shared]
     }
 
-    /// Tokens of the parts that are shared with other requests.
+    /// Total length of the parts that are shared with other requests, in tokens.
     pub fn shared_tokens(&self) -> u32 {
         self.shared().iter().map(|part| part.tokens).sum()
     }
@@ -60,27 +61,27 @@
 /// One part of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Part {
-    /// Same id, same tokens.
+    /// Its id; parts with the same id have the same tokens.
     pub id: u64,
-    /// Its length.
+    /// Its length, in tokens.
     pub tokens: u32,
 }
 
-/// What the fleet adds to a request that it sends to a server.
+/// What a box adds to a request that it sends to a server.
 #[derive(Debug, Clone, Copy)]
 pub struct Forward<'a> {
-    /// The one server that may run it.
+    /// The only server that may run it.
     pub server: &'a ids::Server,
     /// Time that the server may still take.
     pub left: Option<Duration>,
     /// The client's account; `None` on routes without accounts.
     pub account: Option<&'a ids::Account>,
-    /// Urgency at a model engine, 0 (first) to 9.
+    /// Priority at a model engine, from 0 (most urgent) to 9.
     pub priority: Option<u8>,
-    /// Continue a stream after this event.
+    /// The event after which a stream is to be continued.
     pub resume_after: Option<u64>,
-    /// Copy what this server keeps of the prompt instead of reading it.
+    /// The server from which to copy cached parts of the prompt, instead of a prefill.
     pub copy_from: Option<SocketAddr>,
-    /// Bytes of the body that follows, if the request has a body.
+    /// Length of the body that follows, in bytes, if the request has a body.
     pub body: Option<usize>,
 }
--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -14,18 +14,18 @@
     pub service: ids::Service,
     /// The release that is to serve it.
     pub target: Release,
-    /// Time from the order until it should.
+    /// Time after the order at which the move is to be complete.
     pub within: Duration,
 }
 
-/// How far an order has come.
+/// The progress of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum State {
-    /// Both releases serve, or the new one will.
+    /// Both releases serve requests, or the new one is about to.
     InProgress,
-    /// The new release alone serves; the old servers may stop.
+    /// Only the new release serves requests; the old servers may stop.
     Completed,
-    /// The new release gets nothing more.
+    /// The new release gets no more requests.
     RolledBack,
 }
 
--- a/crates/core/src/server.rs
+++ b/crates/core/src/server.rs
@@ -1,4 +1,4 @@
-//! Backend servers as they announce themselves.
+//! Backend servers as they advertise themselves.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -11,15 +11,15 @@
 /// Whether a server takes new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// It does.
+    /// It takes them.
     Ready,
-    /// It is leaving: it finishes what it has and gets nothing new.
+    /// It is leaving: it finishes its requests and gets no new ones.
     Draining,
 }
 
-/// When a server's process started, in ms of its own clock since 1970. Two lives
-/// of a server differ in it; which of them is the later one is not told by it,
-/// since clocks may be set back.
+/// When a server's process started, in ms since 1970 by its own clock. It distinguishes
+/// two incarnations of a server, but does not tell which is the later one, since clocks
+/// may be set back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct StartTime(pub u64);
 
@@ -32,11 +32,11 @@
 /// Longest name of a release, in bytes.
 const RELEASE_BYTES_MAX: usize = 64;
 
-/// The release of its software that a server runs, as whoever built it named it.
+/// The release of its software that a server runs, as named by whoever built it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Release(Arc<str>);
 
-/// Why a text names no release.
+/// The text is not a valid name of a release; contains its length in bytes.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("a release has a name of 1 to {RELEASE_BYTES_MAX} bytes, found {0}")]
 pub struct InvalidRelease(usize);
@@ -65,26 +65,28 @@
     }
 }
 
-/// One life of a backend server: its id and its birth.
+/// One incarnation of a backend server: one run of its process, identified by the
+/// server id and the start time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Server {
     /// Its id.
     pub id: ids::Server,
-    /// When it started, where it tells that.
+    /// When its process started, where it reports that.
     pub born: Option<StartTime>,
     /// The service whose requests it runs.
     pub service: ids::Service,
-    /// Where it listens. May be given to a server of another service later.
+    /// Where it listens. The address may later belong to a server of another service.
     pub address: SocketAddr,
     /// Its data hall.
     pub hall: ids::Hall,
     /// Requests that it works on at once.
     pub slots: u32,
-    /// The release that it runs, where it tells that.
+    /// The release that it runs, where it reports that.
     pub release: Option<Release>,
     /// Whether it takes new requests.
     pub state: State,
-    /// How much longer it is cold, as of its announcement: slow, and overturned
-    /// by more requests than its service's [`Cold`](crate::catalog::Cold).
+    /// How much longer it is cold, as of its advertisement. While it is cold, it is
+    /// slow, and fails under more requests than its service's
+    /// [`Cold`](crate::catalog::Cold) states.
     pub cold: Duration,
 }
--- a/crates/core/src/store.rs
+++ b/crates/core/src/store.rs
@@ -1,24 +1,24 @@
-//! A key-value store as processes use it: reads, watches, changes under
-//! conditions, leases.
+//! A key-value store as processes use it: reads, watches, conditional writes, leases.
 //!
-//! There is one client of each kind of store, which implements [`Store`].
-//! Whoever uses a store names the types of this module only, but for the place
-//! at which the client is made.
+//! There is one client for each kind of store, which implements [`Store`]. Code that
+//! uses a store names only the types of this module, except where it creates the
+//! client.
 //!
 //! Invariants:
 //!
-//! * A call that failed says whether it may have been done: see [`Failure`].
-//!   What the store refused because of its contents is no failure: see
-//!   [`Swap`] and [`LeaseState`].
-//! * Nothing is repeated after an answer, a refusal or the end of the time. A
-//!   client that may send a call twice before that says so at its type.
-//! * What is read together is of one era of the store, and a watch goes on in its era
-//!   alone.
-//! * Waiting for changes holds up no other call.
+//! * A failed call says whether it may have been carried out: see [`Failure`]. A
+//!   refusal because of the store's contents is not a failure: see [`Swap`] and
+//!   [`LeaseState`].
+//! * A client does not repeat a call after an answer, a refusal or the time limit. A
+//!   client that may send a call twice before that states so in the documentation of
+//!   its type.
+//! * The items of one read are of the same era of the store, and a watch ends with its
+//!   era.
+//! * Waiting for changes does not block other calls.
 //!
-//! Futures of a client are only `Send` where the client's are, and the trait
-//! cannot ask for that without taking it from those of one thread. So tasks
-//! that are spawned over several threads hold a client by its own type.
+//! The futures of this trait are `Send` only if those of the client are. The trait
+//! cannot require that without excluding single-threaded clients, so tasks that are
+//! spawned on several threads name the concrete type of their client.
 
 use std::io;
 use std::time::Duration;
@@ -26,16 +26,16 @@
 use crate::era::StaleEra;
 pub use crate::era::{Era, Revision};
 
-/// A lease: items that are bound to it go when it ends.
+/// A lease: items that are bound to it are removed when it ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct LeaseId(pub u64);
 
-/// What was read, and the state of the store it was read from.
+/// A value that was read, and the state of the store that it was read from.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Read<T> {
-    /// What was read.
+    /// The value.
     pub value: T,
-    /// The state; the default where the store's answer does not state it.
+    /// The state; the default if the store's answer does not state it.
     pub revision: Revision,
 }
 
@@ -46,7 +46,7 @@
     pub key: String,
     /// Its value.
     pub value: Vec<u8>,
-    /// Its last change.
+    /// The revision of its last change.
     pub revision: Revision,
     /// The lease it is bound to.
     pub lease: Option<LeaseId>,
@@ -61,13 +61,13 @@
     Delete {
         /// Its key.
         key: String,
-        /// The removal.
+        /// The revision of the removal.
         revision: Revision,
     },
 }
 
 impl Event {
-    /// The key of the item that was changed.
+    /// The key of the changed item.
     pub fn key(&self) -> &str {
         match self {
             Event::Put(item) => &item.key,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The change's revision.
+    /// The revision of the change.
     pub fn revision(&self) -> Revision {
         match self {
             Event::Put(item) => item.revision,
@@ -84,12 +84,12 @@
     }
 }
 
-/// Items that are watched.
+/// The items to watch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scope<'a> {
-    /// The one of this key.
+    /// The item with this key.
     Key(&'a str),
-    /// All whose keys begin so.
+    /// All items whose keys begin with this prefix.
     Prefix(&'a str),
 }
 
@@ -104,27 +104,28 @@
     pub lease: Option<LeaseId>,
 }
 
-/// What became of a [`Store::swap`].
+/// Outcome of a [`Store::swap`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Swap {
-    /// Everything was done, in this change.
+    /// All writes and removals were made, at this revision.
     Done(Revision),
-    /// Nothing was done: an item was not as expected. Of a client that may send
-    /// a call twice, the change that came first may be its own.
+    /// Nothing was changed: an item was not at the expected revision. If the client may
+    /// send a call twice, the conflicting change may be the call's own.
     Conflict(Current),
-    /// The store went back to an older copy since the conditions were learned. They held
-    /// by chance, if they did, and whatever was done was done under other conditions.
+    /// The store was restored from an older backup after the expected revisions were
+    /// read. If they matched, they did so by coincidence; whatever was changed was
+    /// changed under other conditions.
     EraChanged,
-    /// Nothing was done: a lease is over.
+    /// Nothing was changed: a lease has ended.
     LeaseExpired,
 }
 
-/// Items whose revisions were expected, as they are after a conflict.
+/// The items whose revisions were expected, as they are after a conflict.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Current {
-    /// These; an absent one is not among them.
+    /// The items; absent ones are not included.
     Items(Vec<Item>),
-    /// The store's answer does not say: they have to be read.
+    /// The store's answer does not include them: they have to be read.
     NotReported,
 }
 
@@ -133,48 +134,49 @@
 pub struct Lease {
     /// Its id.
     pub id: LeaseId,
-    /// How long it runs, from when the call reached the store.
+    /// How long it runs from the time at which the call reached the store.
     pub ttl: Duration,
 }
 
-/// What became of a renewal.
+/// Outcome of renewing a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseState {
-    /// The lease runs so long from when the call reached the store.
+    /// The lease runs for this long from the time at which the call reached the store.
     For(Duration),
-    /// The lease is over.
+    /// The lease has ended.
     Gone,
 }
 
 /// Why a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Failure {
-    /// Refused for too many calls; not done.
-    #[error("the store refuses: too many calls")]
+    /// Refused because of too many calls; not carried out.
+    #[error("the store refused the call: too many calls")]
     TooMany,
-    /// Refused; not done.
+    /// Refused because the store is unavailable; not carried out.
     #[error("the store is unavailable")]
     Unavailable,
-    /// The changes that were asked for are no longer known.
-    #[error("the store no longer knows these changes")]
+    /// The store no longer has the changes that were requested.
+    #[error("the store no longer has the requested changes")]
     Compacted,
-    /// The store went back to an older copy: what was asked for is of another era.
-    #[error("the store went back to an older copy meanwhile")]
+    /// The store was restored from an older backup: the changes that were requested are
+    /// of another era.
+    #[error("the store was restored from an older backup")]
     Restored,
-    /// The answer is of a former era: it is over, and what it tells of no use.
+    /// The answer is of a stale era: it must not be used.
     #[error(transparent)]
     StaleEra(#[from] StaleEra),
-    /// Refused with another status; not done.
-    #[error("the store refuses with status {0}")]
+    /// Refused with another status; not carried out.
+    #[error("the store refused the call with status {0}")]
     Refused(u16),
-    /// The store was not reached; not done.
+    /// The store was not reached; not carried out.
     #[error("the store was not reached: {0}")]
     NotSent(io::Error),
-    /// No whole answer came in time, or one that leaves it open; the call may
-    /// have been done, or be done later.
+    /// No complete answer arrived in time, or one that does not tell the outcome; the
+    /// call may have been carried out, or may be later.
     #[error("the store did not answer: {0}")]
     NoAnswer(io::Error),
-    /// The answer cannot be read; the call may have been done.
+    /// The answer is unreadable; the call may have been carried out.
     #[error("the store's answer is unreadable: {0}")]
     Malformed(String),
 }
@@ -196,7 +198,7 @@
     }
 }
 
-/// A client of a store. `limit` is the longest time for a call.
+/// A client of a store. `limit` is the time limit of a call.
 #[expect(
     async_fn_in_trait,
     reason = "whether a future is `Send` is for the client: see the module"
@@ -205,18 +207,18 @@
     /// A running watch.
     type Watch: Watch;
 
-    /// Reads one item, as it is now.
+    /// Reads the current state of one item.
     ///
     /// # Errors
     ///
     /// See [`Failure`].
     async fn get(&self, key: &str, limit: Duration) -> Result<Read<Option<Item>>, Failure>;
 
-    /// Reads all items whose keys begin with `prefix`. `stale` allows the store
-    /// to answer from a state some seconds old.
+    /// Reads all items whose keys begin with `prefix`. `stale` allows the store to
+    /// answer from a state that is some seconds old.
     ///
-    /// The items may be of different states of the store, none older than the
-    /// revision: a watch after it misses nothing.
+    /// The items may be of different states of the store, but none is older than the
+    /// revision: a watch from there misses no change.
     ///
     /// # Errors
     ///
@@ -228,11 +230,11 @@
         limit: Duration,
     ) -> Result<Read<Vec<Item>>, Failure>;
 
-    /// A watch for changes after `after`; calls nothing yet.
+    /// Creates a watch for changes after the revision `after`; makes no call yet.
     fn watch(&self, scope: Scope<'_>, after: Revision) -> Self::Watch;
 
-    /// Writes and removes items if all of `expected` have these revisions; the default
-    /// stands for an absent item. Does everything or nothing.
+    /// Writes and removes items if all of `expected` have these revisions, where the
+    /// default revision stands for an absent item. Makes all changes or none.
     ///
     /// # Errors
     ///
@@ -245,15 +247,15 @@
         limit: Duration,
     ) -> Result<Swap, Failure>;
 
-    /// Asks for a lease. It runs from when the call reaches the store, so
-    /// count from before the call.
+    /// Requests a lease. It runs from the time at which the call reaches the store, so
+    /// the caller has to count from before the call.
     ///
     /// # Errors
     ///
-    /// See [`Failure`]; a lease that was granted all the same lapses unused.
+    /// See [`Failure`]; a lease that was granted nevertheless expires unused.
     async fn lease(&self, ttl: Duration, limit: Duration) -> Result<Lease, Failure>;
 
-    /// Renews a lease. Count from before the call.
+    /// Renews a lease. The caller has to count its time from before the call.
     ///
     /// # Errors
     ///
@@ -274,12 +276,12 @@
     reason = "whether a future is `Send` is for the client: see the module"
 )]
 pub trait Watch {
-    /// Waits up to `wait` for the next changes; there are none if it passes.
-    /// The revision is that up to which changes are known.
+    /// Waits up to `wait` for the next changes; returns none of them when that time is
+    /// over. The revision is the one up to which all changes are known.
     ///
     /// # Errors
     ///
-    /// See [`Failure`]; [`Failure::Compacted`] when the changes are no longer
-    /// known. After a failure the items have to be read again.
+    /// See [`Failure`]; [`Failure::Compacted`] if the store no longer has the changes.
+    /// After a failure the items have to be read again.
     async fn next(&mut self, wait: Duration) -> Result<Read<Vec<Event>>, Failure>;
 }
--- a/crates/core/src/work.rs
+++ b/crates/core/src/work.rs
@@ -1,5 +1,5 @@
-//! One admitted request, in the terms that it is placed, queued, repeated and
-//! resumed by.
+//! One admitted request for a model engine: what placing, queueing, retrying and
+//! resuming it need to know.
 
 use std::time::Duration;
 
@@ -9,34 +9,34 @@
 use crate::catalog::Kind;
 use crate::request::Prompt;
 
-/// What is asked of a model engine.
+/// An admitted request for a model engine.
 #[derive(Debug, Clone)]
 pub struct Work {
     /// Its id; the same at every engine that it is sent to.
     pub id: ids::Request,
     /// The client's account.
     pub account: ids::Account,
-    /// Urgency at an engine; 0 is the most urgent.
+    /// Priority at an engine; 0 is the most urgent.
     pub priority: u8,
     /// The model.
     pub model: ids::Model,
     /// The prompt's parts, and the expected output.
     pub prompt: Prompt,
-    /// Whether its session has had an answer before.
+    /// Whether an earlier request of its session was answered.
     pub returning: bool,
-    /// The engine that made the answer before, where that is known.
+    /// The engine that made that earlier answer, where it is known.
     pub prefer: Option<ids::Engine>,
-    /// Engines that have failed it.
+    /// Engines at which the request failed.
     pub avoid: Vec<ids::Engine>,
-    /// Whether it may run again, or go on elsewhere after an event.
+    /// Whether it may run again, or be continued at another engine after an event.
     pub kind: Kind,
-    /// When its answer must be whole.
+    /// When its answer has to be complete.
     pub deadline: Instant,
-    /// Pauses after which its engine counts as stuck.
+    /// Gaps in the answer from which its engine counts as stuck.
     pub stall_timeouts: Timeouts,
 }
 
-/// Longest pauses of an engine that works.
+/// Longest gaps in the answers of an engine that is not stuck.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timeouts {
     /// Before the first event.
