--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -1,30 +1,32 @@
-//! What this box knows of catalog and servers, and where it learns it: from
-//! the platform's store, or from the box of its hall that reads the store.
+//! Keeps this box's local view of the catalog and the servers up to date, either from
+//! the platform's store or from the reader: the box of its hall that reads the store.
 //!
-//! While this box reads the store, three tasks run: one watches the catalog,
-//! one watches the servers, and one asks at a steady pace whether the catalog
-//! in force is still the newest. A watch that says nothing is no proof of that:
-//! it may be cut off, or late. While another box reads, these tasks rest.
+//! While this box is the reader, three tasks run: one watches the catalog, one watches
+//! the servers, and one periodically checks that the catalog in force is still the
+//! newest (the freshness check). A watch that delivers no change does not show that:
+//! its connection may be cut, or its events late. While another box is the reader,
+//! these tasks wait.
 //!
 //! Invariants:
 //!
-//! * A proof bears a time before its question was sent.
-//! * After the store went back to an older copy, what was known stands until the
-//!   operator's entries are whole and servers have had their time (`eras`).
-//! * A server is dropped when its entry goes while the store can be relied on;
-//!   else a while after the store is back, if the entry is still missing
-//!   ([`doubt`]).
-
+//! * A freshness check confirms the view as of a time before its request was sent.
+//! * After the store was restored from an older backup, earlier knowledge stays in
+//!   force until the operator entries are complete and servers have had time to write
+//!   their entries again (`eras`).
+//! * A server is dropped as soon as its entry is deleted while the store is reliable;
+//!   otherwise at the end of a grace period after the store's return, if the entry is
+//!   still missing ([`availability`]).
+
+pub mod availability;
 mod boxes;
 mod catalog;
+mod change_log;
 mod changes;
-pub mod doubt;
 mod eras;
 mod halls;
 mod listing;
 mod mark;
-mod news;
-mod pause;
+mod retry;
 mod rollouts;
 mod servers;
 mod shared;
@@ -42,11 +44,11 @@
 use tidepier_ids as ids;
 use tidepier_platform::store::Client;
 
-use self::doubt::Doubt;
+use self::availability::Availability;
+use self::change_log::Batch;
 pub use self::listing::Progress;
 use self::mark::Mark;
-use self::news::News;
-pub use self::pause::PROBING_BOXES;
+pub use self::retry::PROBING_BOXES;
 use crate::emptied_halls::EmptiedHalls;
 use crate::era_state::{Entry, Origin};
 use crate::fleet;
@@ -55,99 +57,105 @@
 use crate::relay::Relay;
 use crate::server_history::History;
 
-/// Longest time for one call: a slow store answers within a few hundred ms.
-const CALL_TIME: Duration = Duration::from_millis(1_200);
-/// Time between two proofs, as a part of the time in which a change has to be
-/// in force everywhere.
-const PROOF_PART: f64 = 0.4;
-/// Age of a proof, as a part of the same time, from which this box reads the
-/// store itself.
-const OLD_PART: f64 = 0.75;
-/// Time between two checks of the age of the proof.
-const AGE_LOOK: Duration = Duration::from_millis(150);
-
-/// What this box knows, and where from.
+/// Time limit of one call: a slow store answers within a few hundred ms.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Interval between two freshness checks, as a fraction of the time in which a change
+/// has to be in force on every box.
+const FRESHNESS_CHECK_PART: f64 = 0.4;
+/// Age of the last confirmation, as a fraction of the same time, from which this box
+/// reads the store itself.
+const STALE_PART: f64 = 0.75;
+/// Interval at which the age of the last confirmation is checked.
+const AGE_CHECK_INTERVAL: Duration = Duration::from_millis(150);
+
+/// The local view of catalog and servers, and the state of its synchronization.
 pub struct Follower {
     relay: Rc<Relay>,
     store: Rc<Client>,
-    /// Notified when the store went back to an older copy.
+    /// Notified when the store was restored from an older backup.
     era_changed: Notifier,
-    /// Notified when something of a former era stands against what the store has.
-    held: Notifier,
-    /// Notified when other boxes were asked what they remember.
-    asked_others: Notifier,
-    /// Where boxes keep the era in which they are.
+    /// Notified when something known from a stale era takes precedence over a backup
+    /// entry.
+    entries_held: Notifier,
+    /// Notified after other boxes were asked for the operator entries that they
+    /// remember.
+    recall_done: Notifier,
+    /// The store's entry in which boxes record the newest era with complete operator
+    /// entries.
     mark: Cell<Mark>,
-    /// The configuration as the store has it.
-    entry: Cell<Option<Entry>>,
-    /// The read of all that the operator wrote.
+    /// Version and revision of the configuration's entry in the store.
+    stored_entry: Cell<Option<Entry>>,
+    /// The read of all operator entries, shared by the tasks that need it.
     operator_read: shared::Read,
-    /// The newest state of the store that is known to have it.
-    state: Cell<Revision>,
-    /// The one in force, for boxes that ask.
+    /// The newest state of the store that is known to contain `stored_entry`.
+    stored_state: Cell<Revision>,
+    /// The bytes of the configuration in force, sent to boxes that request it.
     document: RefCell<Rc<[u8]>>,
-    /// The halls that the operator asked to empty.
+    /// The halls that the operator requested to be emptied.
     emptied: EmptiedHalls,
-    /// Notified when those changed.
+    /// Notified when `emptied` changed.
     emptied_changed: Notifier,
     record: History,
-    /// Servers whose entries may be older than what they said before the store went back.
+    /// Withheld entries: backup entries that contradict what their servers advertised
+    /// before the restore.
     withheld: RefCell<BTreeMap<ids::Server, Row>>,
-    /// Latest moment at which all that the store held was known here.
-    followed: Cell<Option<Instant>>,
-    /// Whether this box reads the store itself.
+    /// The latest time at which the local view covered everything in the store.
+    synced_at: Cell<Option<Instant>>,
+    /// Whether this box is the reader of its hall.
     reads_store: Cell<bool>,
-    /// Notified when that changed.
+    /// Notified when `reads_store` changed.
     role_changed: Notifier,
-    /// Whether the servers are followed without a gap.
+    /// Whether this box, as the reader, follows the servers without a gap.
     servers_known: Cell<bool>,
-    /// Whether what this box knows was confirmed once.
-    informed: Cell<bool>,
-    /// Whether the store can be relied on.
-    doubt: Doubt,
+    /// Whether the local view has been confirmed at least once.
+    confirmed_once: Cell<bool>,
+    /// Whether the store is reachable, and whether a missing entry means that it was
+    /// deleted.
+    availability: Availability,
     /// When a list or a watch was last answered.
-    answered: Cell<Option<Instant>>,
-    /// Whether the store was lost as calls got no answer, and not as it refused them.
-    lost_in_silence: Cell<bool>,
-    /// When an answer to a write was last lost.
-    unanswered: Cell<Option<Instant>>,
-    /// Boxes of this hall that come before this one.
+    answered_at: Cell<Option<Instant>>,
+    /// Whether the store counted as unreachable because calls got no answer, rather
+    /// than because it refused them.
+    lost_without_answer: Cell<bool>,
+    /// When a write last got no answer.
+    write_unanswered_at: Cell<Option<Instant>>,
+    /// Boxes of this hall that rank before this one as readers.
     boxes_before: Cell<u32>,
     /// Notified when the store is reachable again.
     store_returned: Notifier,
-    /// Changes of anything that other boxes are told.
+    /// Number of changes that other boxes have to be notified of.
     change_count: Cell<u64>,
-    /// Notified with each of them.
+    /// Notified with each such change.
     news: Notifier,
 }
 
 impl Follower {
-    /// A follower that knows nothing yet and reads nothing yet.
+    /// A follower with an empty view that does not read the store.
     pub fn new(relay: Rc<Relay>, store: Rc<Client>) -> Rc<Self> {
         Rc::new(Self {
             relay,
             store,
             era_changed: Notifier::default(),
-            held: Notifier::default(),
-            asked_others: Notifier::default(),
+            entries_held: Notifier::default(),
+            recall_done: Notifier::default(),
             mark: Cell::default(),
-            entry: Cell::new(None),
+            stored_entry: Cell::new(None),
             operator_read: shared::Read::default(),
-            state: Cell::default(),
+            stored_state: Cell::default(),
             document: RefCell::new(Rc::new([])),
             emptied: EmptiedHalls::default(),
             emptied_changed: Notifier::default(),
             record: History::default(),
             withheld: RefCell::default(),
-            followed: Cell::new(None),
+            synced_at: Cell::new(None),
             reads_store: Cell::new(false),
             role_changed: Notifier::default(),
             servers_known: Cell::new(false),
-            informed: Cell::new(false),
-            doubt: Doubt::default(),
-            answered: Cell::new(None),
-            lost_in_silence: Cell::new(false),
-            unanswered: Cell::new(None),
+            confirmed_once: Cell::new(false),
+            availability: Availability::default(),
+            answered_at: Cell::new(None),
+            lost_without_answer: Cell::new(false),
+            write_unanswered_at: Cell::new(None),
             boxes_before: Cell::new(0),
             store_returned: Notifier::default(),
             change_count: Cell::new(0),
@@ -155,7 +163,7 @@
         })
     }
 
-    /// What the tasks of the router share.
+    /// The state that the tasks of the router share.
     pub fn relay(&self) -> &Relay {
         &self.relay
     }
@@ -175,37 +183,38 @@
         self.role_changed.notify();
     }
 
-    async fn reading(&self) {
+    async fn wait_until_reader(&self) {
         while !self.reads_store.get() {
             self.role_changed.wait().await;
         }
     }
 
-    /// Reads the store itself when what is known grows old, whatever the reason;
-    /// does not end.
+    /// Makes this box read the store itself when the local view grows old for any
+    /// reason; does not end.
     pub async fn watch_age(self: Rc<Self>) {
         loop {
-            Timer::after(AGE_LOOK).await;
-            let known = self.known_since();
-            if !self.reads_store.get() && known.is_some_and(|age| age > self.bound(OLD_PART)) {
+            Timer::after(AGE_CHECK_INTERVAL).await;
+            let known = self.view_age();
+            if !self.reads_store.get() && known.is_some_and(|age| age > self.bound(STALE_PART)) {
                 self.set_reads_store("old_proof", true);
             }
         }
     }
 
-    /// How long ago what is known here was the newest; while nothing can be proven, how
-    /// long ago it was all that the store held.
-    fn known_since(&self) -> Option<Duration> {
+    /// Time since the local view was confirmed current. While nothing can be confirmed,
+    /// because the operator entries may be incomplete, the time since it covered
+    /// everything in the store.
+    fn view_age(&self) -> Option<Duration> {
         let now = Instant::now();
         if self.relay.standing.is_settled() {
             self.relay.view.age_at(now)
         } else {
-            self.followed_age(now)
+            self.synced_age(now)
         }
     }
 
-    /// Records how many boxes of this hall come before this one: the further
-    /// behind, the more seldom it calls an unreachable store.
+    /// Records how many boxes of this hall rank before this one: the more there are,
+    /// the less often this box calls an unreachable store.
     pub fn set_boxes_before(&self, behind: usize) {
         self.boxes_before
             .set(u32::try_from(behind).unwrap_or(u32::MAX));
@@ -213,20 +222,21 @@
 
     /// Whether the store was found to be unreachable.
     pub fn store_is_unreachable(&self) -> bool {
-        self.doubt.is_unreachable()
+        self.availability.is_unreachable()
     }
 
-    /// Whether the store was unreachable until so lately that what it lacks may come back.
+    /// Whether the grace period after an outage still runs, in which missing entries
+    /// may come back.
     pub fn in_grace_period(&self) -> bool {
-        !self.doubt.is_over(Instant::now())
+        !self.availability.is_authoritative(Instant::now())
     }
 
-    /// Waits until this box reads the store and the store is reachable: then
-    /// the proof alone calls it.
-    async fn ready_to_read(&self) {
+    /// Waits until this box is the reader and the store is reachable. While the store is
+    /// unreachable, only the freshness check calls it.
+    async fn wait_until_readable(&self) {
         loop {
-            self.reading().await;
-            if !self.doubt.is_unreachable() {
+            self.wait_until_reader().await;
+            if !self.availability.is_unreachable() {
                 return;
             }
             self.store_returned
@@ -236,76 +246,78 @@
         }
     }
 
-    /// Records that what is known was the newest at `asked`.
-    fn prove_at(&self, asked: Instant) {
+    /// Records that the local view was the newest at `asked`.
+    fn record_confirmation(&self, asked: Instant) {
         self.relay.view.confirm_at(asked);
-        self.touch();
+        self.record_change();
     }
 
-    /// Has those be told that wait for something new.
-    fn touch(&self) {
+    /// Counts a change and notifies the tasks that wait for one.
+    fn record_change(&self) {
         self.change_count.set(self.change_count.get() + 1);
         self.news.notify();
     }
 
-    /// How often something new became known.
+    /// Number of changes of the local view so far.
     pub fn change_count(&self) -> u64 {
         self.change_count.get()
     }
 
-    /// Waits for something new.
+    /// Waits for the next change of the local view.
     pub async fn news(&self) {
         self.news.wait().await;
     }
 
-    /// Whether this box may wait until the one that it asks can vouch again: what it
-    /// knows is recent, so that it need not read the store itself.
+    /// Whether this box may wait until the box that it follows can confirm its view
+    /// again: the local view is recent enough that this box need not read the store
+    /// itself.
     pub fn can_wait_for_peer(&self) -> bool {
-        let age = self.known_since();
-        !self.reads_store.get() && age.is_some_and(|age| age < self.bound(OLD_PART))
+        let age = self.view_age();
+        !self.reads_store.get() && age.is_some_and(|age| age < self.bound(STALE_PART))
     }
 
     fn bound(&self, part: f64) -> Duration {
         self.relay.bounds().confirm_within.mul_f64(part)
     }
 
-    /// Revision of the configuration's entry in the store, if there is one.
+    /// Revision of the configuration's entry in the store; the default where it has
+    /// none.
     pub fn revision(&self) -> Revision {
-        self.entry
+        self.stored_entry
             .get()
             .map_or_else(Revision::default, |entry| entry.revision)
     }
 
-    /// How long ago all that the store held was known here.
-    fn followed_age(&self, now: Instant) -> Option<Duration> {
-        let followed = self.followed.get();
-        followed.map(|at| now.saturating_duration_since(at))
+    /// Time since the local view covered everything in the store.
+    fn synced_age(&self, now: Instant) -> Option<Duration> {
+        let synced_at = self.synced_at.get();
+        synced_at.map(|at| now.saturating_duration_since(at))
     }
 
-    /// Records that all that the store held at a moment is known here.
-    fn follow_since(&self, moment: Instant) {
-        if self.followed.get().is_none_or(|earlier| earlier < moment) {
-            self.followed.set(Some(moment));
-            self.touch();
+    /// Records that the local view covers everything that the store held at `moment`.
+    fn record_synced(&self, moment: Instant) {
+        if self.synced_at.get().is_none_or(|earlier| earlier < moment) {
+            self.synced_at.set(Some(moment));
+            self.record_change();
         }
     }
 
-    /// How the servers changed.
+    /// The history of server changes.
     pub fn record(&self) -> &History {
         &self.record
     }
 
-    /// Takes over a server's entry.
-    fn announced(&self, row: Row, news: &mut News) {
-        // Another box may know an older state of the store.
+    /// Applies a server's entry.
+    fn apply_row(&self, row: Row, batch: &mut Batch) {
+        // The entry may come from a box that knows an older state of the store.
         if self.record.is_outdated(&row) {
             return;
         }
         let hold = self.hold_servers();
-        if hold.is_some_and(|hold| self.record.stands_against(&row, hold)) {
-            news.add_id(news::Change::Withheld, row.id());
+        if hold.is_some_and(|hold| self.record.takes_precedence_over(&row, hold)) {
+            batch.add_id(change_log::Change::Withheld, row.id());
             self.withheld.borrow_mut().insert(row.id().clone(), row);
-            self.held.notify();
+            self.entries_held.notify();
             return;
         }
         self.withheld.borrow_mut().remove(row.id());
@@ -314,110 +326,121 @@
         let was_missing = fleet.get(row.id()).is_some_and(|it| it.is_missing());
         let server = Server::from(row.clone());
         let id = server.id.clone();
-        let change = fleet.announce(server, news.at);
-        let is_news = was_missing || change != fleet::Change::None;
+        let change = fleet.announce(server, batch.at);
+        let is_change = was_missing || change != fleet::Change::None;
         let row = row.with_cold(Duration::ZERO);
-        // A server writes its entry anew each second or so while it is cold. With 300
-        // boxes before 3,000 servers that all had just started, each question got a
-        // whole list of them.
-        if is_news || !self.record.refresh(&row) {
+        // A server rewrites its entry about every second while it is cold. When each
+        // rewrite counted as a change, 300 boxes before 3,000 servers that had all just
+        // started were sent the whole list of servers for each request.
+        if is_change || !self.record.refresh(&row) {
             self.record.upsert(row);
-            self.touch();
+            self.record_change();
         }
         let change = match change {
-            fleet::Change::Joined => news::Change::Joined,
-            fleet::Change::Restarted => news::Change::Restarted,
-            fleet::Change::Leaving => news::Change::Leaving,
+            fleet::Change::Joined => change_log::Change::Joined,
+            fleet::Change::Restarted => change_log::Change::Restarted,
+            fleet::Change::Leaving => change_log::Change::Leaving,
             fleet::Change::ColdForLonger | fleet::Change::None => return,
         };
-        self.supplant_at(&id, revision);
+        self.replace_at_address(&id, revision);
         if let Some(backend) = self.relay.fleet.get(&id) {
-            news.add(change, &backend.server, revision);
+            batch.add(change, &backend.server, revision);
         }
     }
 
-    /// A server that was not there lately, and whose address a newer entry names,
-    /// ended without a word; its own entry lapses a few heartbeats later. Until
-    /// then each request to it would be answered by the other one, which it is not
-    /// for: when all of 90 servers came back under new ids, 888 requests ended so
-    /// within two seconds, and 483 do with this. An entry alone supplants nobody:
-    /// it may be another writer's.
-    fn supplant_at(&self, id: &ids::Server, revision: Revision) {
+    /// Marks servers as replaced that were unreachable lately and whose address a newer
+    /// entry of another server names. Such a server ended without announcing it, and
+    /// its own entry expires only a few heartbeats later. Until then the other server
+    /// would get its requests, and answer them though they are not meant for it. When
+    /// all of 90 servers came back under new ids, 888 requests ended in this way within
+    /// two seconds, and 483 do with this rule. An entry alone replaces no server, since
+    /// another writer may have made it.
+    fn replace_at_address(&self, id: &ids::Server, revision: Revision) {
         if self.hold_servers().is_some() && self.relay.standing.origin(revision) == Origin::Backup {
             return;
         }
         let fleet = &self.relay.fleet;
         for other in fleet.sharing_address(id) {
-            let was_absent = fleet.get(&other).is_some_and(|it| it.was_unreachable());
-            if was_absent && !self.record.is_newer(&other, revision) {
+            let was_unreachable = fleet.get(&other).is_some_and(|it| it.was_unreachable());
+            if was_unreachable && !self.record.knows_newer(&other, revision) {
                 fleet.mark_replaced(&other);
             }
         }
     }
 
-    /// Drops a server that is gone as of a revision.
-    fn drop_server(&self, id: &ids::Server, seen: Revision, change: news::Change, news: &mut News) {
+    /// Drops a server that was gone as of a revision.
+    fn drop_server(
+        &self,
+        id: &ids::Server,
+        seen: Revision,
+        change: change_log::Change,
+        batch: &mut Batch,
+    ) {
         let Some(backend) = self.relay.fleet.remove(id) else {
             return;
         };
-        self.record.gone(id, seen);
-        self.touch();
-        news.add(change, &backend.server, seen);
+        self.record.remove(id, seen);
+        self.record_change();
+        batch.add(change, &backend.server, seen);
     }
 
-    /// Records that a read failed that was sent at `asked`. A watch that is cut
-    /// says nothing of the store, and too many calls or an unreadable answer are
-    /// no absence.
-    fn read_failed(&self, what: &str, failure: &Failure, asked: Instant) {
-        self.failure(what, failure);
+    /// Records that a read that was sent at `asked` failed. A cut watch does not show
+    /// that the store is unreachable; nor does a refusal for too many calls, or an
+    /// unreadable answer.
+    fn record_read_failure(&self, what: &str, failure: &Failure, asked: Instant) {
+        self.log_failure(what, failure);
         let absent = matches!(
             failure,
             Failure::NotSent(_) | Failure::NoAnswer(_) | Failure::Unavailable
         );
         if absent && self.reads_store.get() {
-            self.call_failed(failure, asked);
+            self.record_call_failure(failure, asked);
         }
     }
 
-    /// Records that a list or a watch was answered. Where the store was lost as calls
-    /// got no answer, it is back.
-    fn answered(&self) {
-        self.answered.set(Some(Instant::now()));
-        if self.doubt.is_unreachable() && self.lost_in_silence.get() {
+    /// Records that a list or a watch was answered. A store that counted as unreachable
+    /// because calls got no answer is reachable again.
+    fn record_store_answer(&self) {
+        self.answered_at.set(Some(Instant::now()));
+        if self.availability.is_unreachable() && self.lost_without_answer.get() {
             self.mark_reachable();
         }
     }
 
-    /// Records that a call failed that was sent at `asked`. A store that answered a list
-    /// or a watch meanwhile is there: the call was held up on its way, as by a large
-    /// configuration that changes each second, and what the watches tell holds. Taken
-    /// for lost, the store was not believed which entries had gone, and servers got
-    /// requests for 3.6 s after; the time left for the fleet is 3 s.
-    fn call_failed(&self, failure: &Failure, asked: Instant) {
+    /// Records that a call that was sent at `asked` failed. If the store answered a
+    /// list or a watch since then, it counts as reachable: the call was delayed, for
+    /// example behind a large configuration that changes every second, and the events
+    /// of the watches are valid. When such a store counted as unreachable, deletions of
+    /// entries were not acted upon, and servers got requests for another 3.6 s; the
+    /// fleet has 3 s in which to stop sending them.
+    fn record_call_failure(&self, failure: &Failure, asked: Instant) {
         let silent = matches!(failure, Failure::NotSent(_) | Failure::NoAnswer(_));
-        self.lost_in_silence.set(silent);
-        let answered = self.answered.get().is_some_and(|at| at > asked);
+        self.lost_without_answer.set(silent);
+        let answered = self.answered_at.get().is_some_and(|at| at > asked);
         if !(silent && answered) {
             self.mark_unreachable(asked);
         }
     }
 
     fn mark_unreachable(&self, asked: Instant) {
-        if self.doubt.lost(asked) {
+        if self.availability.record_failure(asked) {
             log::warn!(target: "belief", "event=store_lost");
         }
     }
 
     fn mark_reachable(&self) {
-        self.informed.set(true);
-        let contact = self.relay.bounds().grace_period;
-        if self.doubt.back(Instant::now(), contact) {
+        self.confirmed_once.set(true);
+        let grace_period = self.relay.bounds().grace_period;
+        if self
+            .availability
+            .record_recovery(Instant::now(), grace_period)
+        {
             log::info!(target: "belief", "event=store_back");
             self.store_returned.notify();
         }
     }
 
-    fn failure(&self, what: &str, failure: &Failure) {
+    fn log_failure(&self, what: &str, failure: &Failure) {
         if !self.reads_store.get() {
             return;
         }
--- a/crates/relay/src/follow/boxes.rs
+++ b/crates/relay/src/follow/boxes.rs
@@ -1,10 +1,11 @@
-//! What this box passes on to others of its hall, and takes over from them.
+//! Exchange of the local view with other boxes of the hall: what this box answers them,
+//! and how it applies their answers.
 //!
 //! Invariants:
 //!
-//! * What cannot be confirmed to be current is not passed on as current.
-//! * Information as of an older revision never replaces newer, and of a former era none
-//!   is taken but for what was in force in it.
+//! * State that cannot be confirmed to be current is not passed on as current.
+//! * Information as of an older revision never replaces newer information, and nothing
+//!   of a stale era is applied but the configuration that was in force in it.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -15,8 +16,8 @@
 use tidepier_core::era::{Era, Revision};
 use tidepier_ids as ids;
 
+use super::change_log::{self, Batch};
 use super::listing::Progress;
-use super::news::{self, News};
 use super::Follower;
 use crate::emptied_halls;
 use crate::era_state::{Entry, Evidence};
@@ -25,42 +26,47 @@
 use crate::message::part::Part;
 use crate::server_history::Cursor;
 
-/// Age of a proof, as a part of the time in which a change has to be in force
-/// everywhere, from which a box's answers to others no longer count as current.
+/// Age of the last confirmation, as a fraction of the time in which a change has to be
+/// in force on every box, from which answers to other boxes no longer count as current.
 const PASS_ON_PART: f64 = 0.6;
 
 impl Follower {
-    /// The configuration in force here, for a box that asks and has an older one.
-    pub fn document_for(&self, ask: &Request) -> Option<Rc<[u8]>> {
+    /// The configuration in force here, for a box that requests it and has an older
+    /// one.
+    pub fn document_for(&self, request: &Request) -> Option<Rc<[u8]>> {
         let in_force = self.in_force()?;
-        let asked = ask.options.as_ref().and_then(|more| more.in_force);
+        let asked = request
+            .options
+            .as_ref()
+            .and_then(|options| options.in_force);
         let newer = match asked {
             Some(version) => in_force > Version(version),
-            None => self.revision().number() > ask.document,
+            None => self.revision().number() > request.document,
         };
         newer.then(|| self.document.borrow().clone())
     }
 
-    /// How far the store is known that this box's word is from.
+    /// The era and state of the store that this box's answers are based on, as sent to
+    /// other boxes.
     pub fn advertised_status(&self, now: Instant) -> Status {
-        let whole = !self.reads_store.get() || self.servers_known.get();
-        let age = self.followed_age(now);
-        let age = age.filter(|age| whole && *age < self.bound(PASS_ON_PART));
-        let stored = self.entry.get().map(|entry| entry.version);
+        let complete = !self.reads_store.get() || self.servers_known.get();
+        let age = self.synced_age(now);
+        let age = age.filter(|age| complete && *age < self.bound(PASS_ON_PART));
+        let stored = self.stored_entry.get().map(|entry| entry.version);
         Status {
             era: self.relay.standing.era().unwrap_or_default().0,
             first: self.relay.standing.first(),
             settled: self.relay.standing.is_settled(),
             in_force: self.relay.view.version().0,
             stored: stored.unwrap_or_default().0,
-            state: self.state.get().number(),
+            state: self.stored_state.get().number(),
             followed_ms: age.map(as_ms),
         }
     }
 
-    /// The servers that a box at `place` does not know, and the place after it.
-    pub fn servers_after(&self, place: Position) -> (Servers, Position) {
-        let (mut servers, place) = self.record.since(place);
+    /// The changes of servers after `position`, and the position after them.
+    pub fn servers_after(&self, position: Position) -> (Servers, Position) {
+        let (mut servers, position) = self.record.since(position);
         let now = Instant::now();
         let fresh = |row: &mut Row| {
             let backend = self.relay.fleet.get(row.id());
@@ -75,90 +81,91 @@
                 });
                 rows.for_each(fresh);
             }
-            // The record makes none of these for boxes of an older form.
+            // The history makes no parts for boxes that run an older release.
             Servers::Part(_) => {}
         }
-        (servers, place)
+        (servers, position)
     }
 
-    /// What a box that asks for parts lacks of the servers, and its position after that.
-    pub fn servers_part(&self, place: &Cursor) -> (Part, Position) {
+    /// The changes of servers that a box lacks that requests lists in parts, and its
+    /// position after them.
+    pub fn servers_part(&self, cursor: &Cursor) -> (Part, Position) {
         let now = Instant::now();
         let cold = |id: &ids::Server| {
             let backend = self.relay.fleet.get(id);
             backend.map_or(Duration::ZERO, |it| it.cold_left(now))
         };
-        let (mut part, position) = self.record.part(place);
+        let (mut part, position) = self.record.part(cursor);
         part.set_cold(cold);
         (part, position)
     }
 
-    /// The halls that the operator asked to empty, as far as this box knows.
+    /// The halls that the operator requested to be emptied, as far as this box knows.
     pub fn emptied(&self) -> emptied_halls::List {
         self.emptied.list()
     }
 
-    /// How long ago all that this box knows was provably the newest; `None`
-    /// when it cannot confirm that.
+    /// Time since the whole local view was confirmed current; `None` when it cannot be
+    /// confirmed to others.
     pub fn shareable_age(&self, now: Instant) -> Option<Duration> {
-        let whole = !self.reads_store.get() || self.servers_known.get();
+        let complete = !self.reads_store.get() || self.servers_known.get();
         let age = self.relay.view.age_at(now)?;
-        (whole && age < self.bound(PASS_ON_PART)).then_some(age)
+        (complete && age < self.bound(PASS_ON_PART)).then_some(age)
     }
 
-    /// How long ago the configuration in force here was provably the newest.
+    /// Time since the configuration in force here was confirmed to be the newest.
     pub fn confirmed_age(&self, now: Instant) -> Option<Duration> {
         self.relay.view.age_at(now)
     }
 
-    /// Whether this box has confirmed what it knows, at the store or at a box
-    /// of its hall that vouches for it.
+    /// Whether the local view was ever confirmed, at the store or by a box of the hall
+    /// with a confirmed view.
     pub fn is_synced(&self) -> bool {
-        self.informed.get()
+        self.confirmed_once.get()
     }
 
-    /// Takes over the servers and the emptied halls of an answer whose
-    /// configuration is still to come, and leaves the rest of it to
-    /// [`apply_answer`](Self::apply_answer). `listing` is what was got so far of a list
-    /// of all servers; while there is one, the servers are not known.
+    /// Applies the servers and the emptied halls of an answer whose configuration has
+    /// not arrived yet; [`apply_answer`](Self::apply_answer) applies the rest.
+    /// `listing` is the part of a full list of servers that was received so far; while
+    /// there is one, the set of servers is incomplete.
     ///
     /// # Errors
     ///
-    /// The other box cannot confirm that what it knows is current, or follows a former
-    /// era of the store.
+    /// The other box cannot confirm that its view is current, or follows a stale era of
+    /// the store.
     pub fn apply_partial_answer(
         &self,
         answer: &mut Answer,
         listing: &mut Option<Progress>,
     ) -> Result<(), Error> {
-        followed(answer).ok_or(Error::Unconfirmed)?;
-        let era = self.hear_era(answer)?;
+        sender_synced_age(answer).ok_or(Error::Unconfirmed)?;
+        let era = self.answer_era(answer)?;
         if answer.standing.is_none() {
             *answer = answer.clone().in_era(era);
         }
         let emptied = answer.emptied.as_ref().ok_or(Error::Unconfirmed)?;
-        self.take_emptied(emptied);
+        self.apply_emptied_list(emptied);
         if let Servers::Part(part) = &answer.servers {
-            self.take_part(part, listing);
+            self.apply_piece(part, listing);
         }
         if let Some(list) = &answer.rollouts {
             let rollouts = &self.relay.rollouts;
             rollouts.merge(list, self.hold(), Instant::now());
         }
         let none = Servers::Changes(Vec::new());
-        self.take_rows(std::mem::replace(&mut answer.servers, none), era);
+        self.apply_servers(std::mem::replace(&mut answer.servers, none), era);
         Ok(())
     }
 
-    /// The era that an answer is of; one that tells none is of the only one that this box
-    /// has known.
+    /// The era that an answer belongs to. An answer without one belongs to the only era
+    /// that this box has known.
     ///
     /// # Errors
     ///
-    /// That is a former one.
-    fn hear_era(&self, answer: &Answer) -> Result<Era, Error> {
+    /// That era is over.
+    fn answer_era(&self, answer: &Answer) -> Result<Era, Error> {
         let known = self.relay.standing.era();
-        let Some(told) = answer.standing else {
+        let Some(status) = answer.standing else {
             let changed = self.relay.standing.has_changed();
             return if changed {
                 Err(Error::StaleEra)
@@ -166,134 +173,136 @@
                 Ok(known.unwrap_or_default())
             };
         };
-        if known.is_some_and(|known| Era(told.era) < known) {
+        if known.is_some_and(|known| Era(status.era) < known) {
             return Err(Error::StaleEra);
         }
-        // One that has not heard of any state tells none.
-        if told.first > 0 {
-            self.hear_state(told.first());
+        // A box that has not observed any state of the store sends none.
+        if status.first > 0 {
+            self.observe_state(status.first());
         }
-        Ok(Era(told.era))
+        Ok(Era(status.era))
     }
 
-    /// Takes over what another box answered to a question that was sent at
-    /// `asked`, with the configuration's entry that followed.
+    /// Applies another box's answer to a request that was sent at `asked`, and the
+    /// configuration's entry that followed the answer.
     ///
     /// # Errors
     ///
-    /// The other box cannot confirm that what it knows is current, or follows a former
-    /// era of the store.
+    /// The other box cannot confirm that its view is current, or follows a stale era of
+    /// the store.
     pub fn apply_answer(
         &self,
         answer: Answer,
         document: Option<Vec<u8>>,
         asked: Instant,
     ) -> Result<(), Error> {
-        let age = followed(&answer).ok_or(Error::Unconfirmed)?;
-        let era = self.hear_era(&answer)?;
+        let age = sender_synced_age(&answer).ok_or(Error::Unconfirmed)?;
+        let era = self.answer_era(&answer)?;
         let answer = match answer.standing {
             Some(_) => answer,
             None => answer.in_era(era),
         };
         let emptied = answer.emptied.as_ref().ok_or(Error::Unconfirmed)?;
-        // The other box reads the store now: what this one thought of it is
-        // over. It may become a reader again long after.
+        // The other box reads the store, so it is reachable again as far as this box
+        // knows. This box may become a reader again much later.
         self.mark_reachable();
-        let known = self.take_told(&answer, document, era);
-        let halls_known = self.take_emptied(emptied);
-        self.take_rollouts(answer.rollouts.as_ref(), asked);
-        self.take_rows(answer.servers, era);
+        let known = self.apply_configuration(&answer, document, era);
+        let halls_known = self.apply_emptied_list(emptied);
+        self.apply_rollouts(answer.rollouts.as_ref(), asked);
+        self.apply_servers(answer.servers, era);
         if halls_known && known {
-            self.follow_since(asked.checked_sub(age).unwrap_or(asked));
+            self.record_synced(asked.checked_sub(age).unwrap_or(asked));
         }
         if answer.standing.is_some_and(|standing| standing.settled) {
             self.settle(Evidence::Report);
         }
-        let proven = match answer.standing {
+        let confirmed = match answer.standing {
             Some(_) => answer.known_ms.map(Duration::from_millis),
             None => Some(age),
         };
-        if let Some(proven) = proven.filter(|_| halls_known && known) {
-            self.prove_from(asked, proven);
+        if let Some(confirmed) = confirmed.filter(|_| halls_known && known) {
+            self.record_confirmation_before(asked, confirmed);
         }
         Ok(())
     }
 
-    /// Takes over the configuration that another box told, and what it knows of the
-    /// store's entry. Returns whether what is in force here is not older than what is in
-    /// force there.
-    fn take_told(&self, answer: &Answer, document: Option<Vec<u8>>, era: Era) -> bool {
+    /// Applies the configuration that another box sent, and the revision of the store's
+    /// entry that it knows. Returns whether the configuration in force here is not
+    /// older than the one in force there.
+    fn apply_configuration(&self, answer: &Answer, document: Option<Vec<u8>>, era: Era) -> bool {
         let revision = Revision::new(era, answer.revision);
-        let read = document.map(|bytes| self.take_document(bytes, revision));
-        let Some(told) = answer.standing else {
-            // One of an older form tells the store's entry alone.
+        let read = document.map(|bytes| self.adopt_document(bytes, revision));
+        let Some(status) = answer.standing else {
+            // A box that runs an older release sends only the store's entry.
             let version = match read {
                 Some(version) => version.filter(|_| revision > self.revision()),
                 None => None,
             };
             if let Some(version) = version {
-                self.set_entry(Entry { version, revision });
+                self.set_stored_entry(Entry { version, revision });
             }
             return !revision.is_none() && self.revision() == revision
-                || revision.is_none() && self.entry.get().is_none();
+                || revision.is_none() && self.stored_entry.get().is_none();
         };
         if revision > self.revision() {
-            let version = Version(told.stored);
-            self.set_entry(Entry { version, revision });
+            let version = Version(status.stored);
+            self.set_stored_entry(Entry { version, revision });
         }
         if revision == self.revision() {
-            self.see_state(Revision::new(era, told.state));
+            self.record_stored_state(Revision::new(era, status.state));
         }
-        self.relay.view.version() >= told.in_force()
+        self.relay.view.version() >= status.in_force()
     }
 
-    /// Takes over what any box answered to a question that was sent at `asked`
-    /// while this box has just started and does not reach the store. The other
-    /// need not vouch that it is current: how old it is comes with it, and
-    /// this box vouches to nobody for it.
+    /// Applies any box's answer to a request that was sent at `asked`, while this box
+    /// has just started and does not reach the store. The other box need not have a
+    /// confirmed view: the answer contains its age, and this box confirms it to no
+    /// other.
     ///
     /// # Errors
     ///
-    /// The other box knows nothing either, sent no valid configuration, or follows a
-    /// former era of the store.
+    /// The other box has no configuration either, sent an invalid one, or follows a
+    /// stale era of the store.
     pub fn apply_seed(
         &self,
         answer: Answer,
         document: Option<Vec<u8>>,
         asked: Instant,
     ) -> Result<(), Error> {
-        let era = self.hear_era(&answer)?;
+        let era = self.answer_era(&answer)?;
         let answer = match answer.standing {
             Some(_) => answer,
             None => answer.in_era(era),
         };
-        let known = self.take_told(&answer, document, era);
+        let known = self.apply_configuration(&answer, document, era);
         if !known || self.in_force().is_none() {
             return Err(Error::Unconfirmed);
         }
         let emptied = answer.emptied.unwrap_or_default();
-        let halls_known = self.take_emptied(&emptied);
-        self.take_rollouts(answer.rollouts.as_ref(), asked);
-        self.take_rows(answer.servers, era);
-        // An entry that is absent when the store is back may have lapsed.
+        let halls_known = self.apply_emptied_list(&emptied);
+        self.apply_rollouts(answer.rollouts.as_ref(), asked);
+        self.apply_servers(answer.servers, era);
+        // An entry that is missing when the store is back may have expired during the
+        // outage.
         self.mark_unreachable(asked);
         self.set_reads_store("seeded", true);
         if let Some(age) = answer.known_ms.filter(|_| halls_known) {
-            self.prove_from(asked, Duration::from_millis(age));
+            self.record_confirmation_before(asked, Duration::from_millis(age));
         }
         Ok(())
     }
 
-    /// Takes over what any box knows of what the operator wrote, while this one cannot
-    /// tell whether the store has all of it: a higher version, halls to be emptied,
-    /// orders, and whether the operator's entries are whole in this era.
+    /// Applies the operator entries that another box remembers, while this box cannot
+    /// tell whether the store has all of them: a higher version of the configuration,
+    /// halls to be emptied, rollout orders, and whether the operator entries are
+    /// complete in this era.
     pub fn apply_recalled(&self, answer: &Answer, document: Option<Vec<u8>>, asked: Instant) {
-        let Some(told) = answer.standing else {
+        let Some(status) = answer.standing else {
             return;
         };
-        let revision = Revision::new(Era(told.era), answer.revision);
+        let revision = Revision::new(Era(status.era), answer.revision);
         if let Some(document) = document {
-            self.take_document(document, revision);
+            self.adopt_document(document, revision);
         }
         if let Some(list) = &answer.emptied {
             let era = self.relay.standing.era().unwrap_or_default();
@@ -301,41 +310,41 @@
                 self.emptied.recall(row, era);
             }
             self.apply_emptied();
-            self.held.notify();
+            self.entries_held.notify();
         }
         if let Some(list) = &answer.rollouts {
             self.relay.rollouts.recall(list, Instant::now());
         }
-        let same_era = Some(Era(told.era)) == self.relay.standing.era();
-        let knows = self.relay.view.version() >= told.in_force();
-        let proven = answer.known_ms.map(Duration::from_millis);
-        let recent = proven.filter(|age| *age < self.bound(PASS_ON_PART));
-        if let Some(age) = recent.filter(|_| told.settled && same_era && knows) {
+        let same_era = Some(Era(status.era)) == self.relay.standing.era();
+        let knows = self.relay.view.version() >= status.in_force();
+        let confirmed = answer.known_ms.map(Duration::from_millis);
+        let recent = confirmed.filter(|age| *age < self.bound(PASS_ON_PART));
+        if let Some(age) = recent.filter(|_| status.settled && same_era && knows) {
             self.settle(Evidence::Report);
-            self.prove_from(asked, age);
+            self.record_confirmation_before(asked, age);
         }
     }
 
     /// Records that the configuration was the newest at `age` before `asked`.
-    fn prove_from(&self, asked: Instant, age: Duration) {
-        if let Some(proven) = asked.checked_sub(age) {
-            self.prove_at(proven);
+    fn record_confirmation_before(&self, asked: Instant, age: Duration) {
+        if let Some(confirmed) = asked.checked_sub(age) {
+            self.record_confirmation(confirmed);
         }
     }
 
-    /// Takes over the configuration of an answer that is not the last one of a list.
+    /// Applies the configuration of an answer that is not the last one of a list.
     pub fn apply_document(&self, answer: &Answer, document: Option<Vec<u8>>) {
         if let Some(document) = document {
-            self.take_document(document, Revision::of(answer.revision));
+            self.adopt_document(document, Revision::of(answer.revision));
         }
     }
 
-    fn take_part(&self, part: &Part, listing: &mut Option<Progress>) {
-        let mut news = News::new();
+    fn apply_piece(&self, part: &Part, listing: &mut Option<Progress>) {
+        let mut batch = Batch::new();
         let Some(piece) = &part.piece else {
-            self.take_changes(part, &mut news);
+            self.apply_changes(part, &mut batch);
             self.record.confirm(part.complete_revision());
-            news.tell();
+            batch.write();
             return;
         };
         if piece.first {
@@ -344,76 +353,76 @@
                 ..Progress::default()
             });
         }
-        // One that does not begin with its first piece is of another question.
+        // A list that does not begin with its first piece answers another request.
         let Some(list) = listing.as_mut() else {
             return;
         };
         list.present.extend(part.rows().map(|row| row.id().clone()));
         list.after.clone_from(&piece.last);
-        self.take_changes(part, &mut news);
+        self.apply_changes(part, &mut batch);
         if piece.last.is_none() {
             for id in self.relay.fleet.ids() {
                 if !list.present.contains(&id) {
-                    self.reported_gone(&id, list.seen, &mut news);
+                    self.remove_reported(&id, list.seen, &mut batch);
                 }
             }
             self.record.confirm(list.seen);
             *listing = None;
         }
-        news.tell();
+        batch.write();
     }
 
-    fn take_changes(&self, part: &Part, news: &mut News) {
+    fn apply_changes(&self, part: &Part, batch: &mut Batch) {
         for (id, seen) in part.gone() {
-            self.reported_gone(id, seen, news);
+            self.remove_reported(id, seen, batch);
         }
-        part.rows().for_each(|row| self.announced(row, news));
+        part.rows().for_each(|row| self.apply_row(row, batch));
     }
 
-    fn take_rows(&self, servers: Servers, era: Era) {
-        let mut news = News::new();
+    fn apply_servers(&self, servers: Servers, era: Era) {
+        let mut batch = Batch::new();
         let of_era = |seen: Revision| Revision::new(era, seen.number());
         match servers {
             Servers::Part(part) => {
-                // Whoever takes a list in pieces does so by `take_part`.
-                self.take_changes(&part, &mut news);
+                // Lists in pieces are applied by `apply_piece`.
+                self.apply_changes(&part, &mut batch);
             }
             Servers::Changes(changes) => changes.into_iter().for_each(|change| match change {
-                follow::Change::Upserted(row) => self.announced(row, &mut news),
+                follow::Change::Upserted(row) => self.apply_row(row, &mut batch),
                 follow::Change::Removed(id, seen) => {
-                    self.reported_gone(&id, of_era(seen), &mut news)
+                    self.remove_reported(&id, of_era(seen), &mut batch)
                 }
             }),
-            Servers::All(rows, seen) => self.take_all(rows, of_era(seen), &mut news),
+            Servers::All(rows, seen) => self.apply_full_list(rows, of_era(seen), &mut batch),
         }
-        news.tell();
+        batch.write();
     }
 
-    /// Takes over all servers that another box knows, as of the state `seen`.
-    fn take_all(&self, rows: Vec<Row>, seen: Revision, news: &mut News) {
+    /// Applies the list of all servers that another box knows, as of the state `seen`.
+    fn apply_full_list(&self, rows: Vec<Row>, seen: Revision, batch: &mut Batch) {
         let present: HashSet<&ids::Server> = rows.iter().map(Row::id).collect();
         for id in self.relay.fleet.ids() {
             if !present.contains(&id) {
-                self.reported_gone(&id, seen, news);
+                self.remove_reported(&id, seen, batch);
             }
         }
         for row in rows {
-            self.announced(row, news);
+            self.apply_row(row, batch);
         }
     }
 
-    /// Drops a server that another box says is gone, unless that box knows an
-    /// older state of the store.
-    fn reported_gone(&self, id: &ids::Server, seen: Revision, news: &mut News) {
-        if !self.record.is_newer(id, seen) {
-            self.drop_server(id, seen, news::Change::Gone, news);
+    /// Drops a server that another box reports as gone, unless that box knows an older
+    /// state of the store.
+    fn remove_reported(&self, id: &ids::Server, seen: Revision, batch: &mut Batch) {
+        if !self.record.knows_newer(id, seen) {
+            self.drop_server(id, seen, change_log::Change::Gone, batch);
         }
     }
 }
 
-/// How long ago the sender of an answer knew all that the store held; `None`: it cannot
+/// Time since the sender of an answer knew everything in the store; `None` if it cannot
 /// tell.
-fn followed(answer: &Answer) -> Option<Duration> {
+fn sender_synced_age(answer: &Answer) -> Option<Duration> {
     let age = match &answer.standing {
         Some(standing) => standing.followed_ms,
         None => answer.age_ms,
@@ -421,7 +430,7 @@
     age.map(Duration::from_millis)
 }
 
-/// Rounded up, so that what is known never looks younger.
+/// Rounded up, so that the view never looks younger than it is.
 fn as_ms(age: Duration) -> u64 {
     age.as_millis() as u64 + 1
 }
--- a/crates/relay/src/follow/catalog.rs
+++ b/crates/relay/src/follow/catalog.rs
@@ -1,5 +1,5 @@
-//! What the operator wrote: the catalog and the halls to be emptied, and the
-//! proof that what is known of both is the newest.
+//! The operator entries: the catalog, the halls to be emptied and the rollout orders,
+//! and the freshness check that confirms that what is known of them is the newest.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,56 +12,56 @@
 use tidepier_platform::{catalog, key};
 
 use super::mark::{self, Mark};
-use super::pause::Pause;
-use super::{Follower, CALL_TIME, PROOF_PART};
+use super::retry::Delay;
+use super::{Follower, CALL_TIMEOUT, FRESHNESS_CHECK_PART};
 use crate::era_state::Entry;
 
-/// Longest time for a change of nothing: a slow store answers within a quarter
-/// of a second, and a read still has to fit into the bound on keys.
-const SWAP_TIME: Duration = Duration::from_millis(600);
-/// After a failure, one read in so many has the time of a slow answer. The
-/// others are given up sooner: a call that went to a store that is away gets no
-/// answer, and the store may be back right after it.
-const LONG_EVERY: u32 = 3;
-/// How long writes are avoided after an answer to one was lost.
-const UNANSWERED_TIME: Duration = Duration::from_secs(5);
+/// Time limit of the conditional no-op write: a slow store answers within a quarter of
+/// a second, and a read still has to fit into the bound on keys.
+const SWAP_TIMEOUT: Duration = Duration::from_millis(600);
+/// After a failure, one read in this many gets the time of a slow answer. The others
+/// are given up sooner: a call that was sent while the store was down gets no answer,
+/// and the store may be back right after it.
+const LONG_LIMIT_EVERY: u32 = 3;
+/// How long writes are avoided after one got no answer.
+const UNANSWERED_MAX: Duration = Duration::from_secs(5);
 
-/// A proof that was asked for.
-struct Asking {
-    /// When.
+/// A freshness check that is under way.
+struct Check {
+    /// When it was sent.
     asked: Instant,
-    /// The revision at which the store was known to have the configuration.
+    /// The revision of the configuration's entry in the store as known then.
     revision: Revision,
-    /// The era that the mark was to name from then on.
+    /// The era that the check writes into the mark.
     marked: Option<Era>,
 }
 
 impl Follower {
     /// Follows the catalog while this box reads the store; does not end.
     pub async fn catalog(self: Rc<Self>) {
-        let mut pause = Pause::default();
+        let mut delay = Delay::default();
         loop {
-            self.ready_to_read().await;
+            self.wait_until_readable().await;
             let asked = Instant::now();
-            // A proof may just have read it.
-            let read = match self.operator_read.recent(CALL_TIME) {
+            // A freshness check may have read it a moment ago.
+            let read = match self.operator_read.recent(CALL_TIMEOUT) {
                 Some(from) => Ok(from),
-                None => self.read_operator(CALL_TIME).await,
+                None => self.read_operator(CALL_TIMEOUT).await,
             };
             match read {
                 Ok(from) => {
-                    pause.reset();
+                    delay.reset();
                     self.watch_catalog(from).await;
                 }
-                Err(failure) => self.read_failed("catalog", &failure, asked),
+                Err(failure) => self.record_read_failure("catalog", &failure, asked),
             }
-            pause.rest().await;
+            delay.wait().await;
         }
     }
 
-    /// Reads all that the operator wrote, which is one call; where it is not known
-    /// whether that is whole, after a look whether another box found it so.
-    /// One that is asked for while another is under way waits for that one's answer.
+    /// Reads all operator entries, which is one call. Where it is not known whether
+    /// they are complete, first reads the mark that another box may have written when
+    /// it found them so. If a read is under way already, waits for its result instead.
     pub(super) async fn read_operator(&self, limit: Duration) -> Result<Revision, Failure> {
         while self.operator_read.is_under_way() {
             if let Some(revision) = self.operator_read.wait().await {
@@ -80,43 +80,44 @@
         }
         let asked = Instant::now();
         let read = self.store.list(key::OPERATOR, false, limit).await?;
-        self.hear_state(read.revision);
-        self.answered();
-        let halls_known = self.take_emptied(&self.emptied_list(&read.value, read.revision));
-        self.take_orders(&read.value, read.revision);
+        self.observe_state(read.revision);
+        self.record_store_answer();
+        let halls_known = self.apply_emptied_list(&self.emptied_list(&read.value, read.revision));
+        self.apply_orders(&read.value, read.revision);
         let mut items = read.value.into_iter();
-        let taken = match items.find(|item| item.key == key::CONFIG) {
-            Some(item) => self.take_entry(item.revision, item.value),
-            None => self.no_entry(read.revision),
+        let applied = match items.find(|item| item.key == key::CONFIG) {
+            Some(item) => self.apply_entry(item.revision, item.value),
+            None => self.record_no_entry(read.revision),
         };
-        if taken {
-            self.see_state(read.revision);
+        if applied {
+            self.record_stored_state(read.revision);
         }
-        if halls_known && taken {
+        if halls_known && applied {
             self.confirm(asked);
         }
         Ok(read.revision)
     }
 
-    /// Records that the store has no configuration; returns whether that is so.
-    fn no_entry(&self, state: Revision) -> bool {
-        if self.entry.take().is_some() || self.in_force().is_some() {
+    /// Records that the store has no configuration; always returns true: the known
+    /// state is then that of the store.
+    fn record_no_entry(&self, state: Revision) -> bool {
+        if self.stored_entry.take().is_some() || self.in_force().is_some() {
             log::warn!(target: "belief", "event=no_catalog revision={state}");
         }
         true
     }
 
-    /// Watches the catalog until the watch breaks or another box reads.
+    /// Watches the catalog until the watch breaks or another box reads the store.
     async fn watch_catalog(&self, from: Revision) {
         let scope = Scope::Prefix(key::OPERATOR);
         let mut changes = self.changes(scope, from, "catalog_watch");
         while let Some(read) = changes.next().await {
             for event in read.value {
-                self.take_emptied_event(&event);
-                self.take_order_event(&event);
+                self.apply_emptied_event(&event);
+                self.apply_order_event(&event);
                 match event {
                     Event::Put(item) if item.key == key::CONFIG => {
-                        self.take_entry(item.revision, item.value);
+                        self.apply_entry(item.revision, item.value);
                     }
                     Event::Put(_) | Event::Delete { .. } => {}
                 }
@@ -125,25 +126,25 @@
         }
     }
 
-    /// Takes over the configuration's entry as the store has it, and puts it in force if
-    /// its version is higher. Returns whether this entry is what the store is known to
-    /// have: not if it cannot be read or is older than the known one.
-    fn take_entry(&self, revision: Revision, bytes: Vec<u8>) -> bool {
+    /// Applies the configuration's entry of the store, and puts it in force if its
+    /// version is higher. Returns whether this entry is now the one that the store is
+    /// known to have: not if it is unreadable or older than the known one.
+    fn apply_entry(&self, revision: Revision, bytes: Vec<u8>) -> bool {
         let known = self.revision();
         if revision <= known {
             return revision == known;
         }
-        let Some(version) = self.take_document(bytes, revision) else {
+        let Some(version) = self.adopt_document(bytes, revision) else {
             return false;
         };
-        self.set_entry(Entry { version, revision });
-        self.touch();
+        self.set_stored_entry(Entry { version, revision });
+        self.record_change();
         true
     }
 
-    /// Puts a configuration in force if its version is higher, whatever it is from.
-    /// Returns its version, if it can be read.
-    pub(super) fn take_document(&self, bytes: Vec<u8>, revision: Revision) -> Option<Version> {
+    /// Puts a configuration in force if its version is higher than the one in force,
+    /// whatever its source. Returns its version, if it is readable.
+    pub(super) fn adopt_document(&self, bytes: Vec<u8>, revision: Revision) -> Option<Version> {
         let before = self.relay.view.version();
         if before != Version::default() && *bytes == **self.document.borrow() {
             return Some(before);
@@ -172,53 +173,53 @@
         Some(version)
     }
 
-    /// Asks at a steady pace whether the catalog in force is the newest, while
-    /// this box reads the store; does not end.
+    /// Periodically checks that the catalog in force is the newest, while this box
+    /// reads the store; does not end.
     pub async fn run_freshness_checks(self: Rc<Self>) {
-        let mut pause = Pause::default();
+        let mut delay = Delay::default();
         loop {
-            self.reading().await;
+            self.wait_until_reader().await;
             let asked = Instant::now();
-            match self.proof(pause.failures()).await {
+            match self.check_freshness(delay.failures()).await {
                 Ok(()) => {
-                    pause.reset();
+                    delay.reset();
                     self.mark_reachable();
-                    let pause = tidepier_clock::sleep(self.bound(PROOF_PART));
-                    pause.or(self.asked_others.wait()).await;
+                    let delay = tidepier_clock::sleep(self.bound(FRESHNESS_CHECK_PART));
+                    delay.or(self.recall_done.wait()).await;
                 }
                 Err(failure) => {
-                    self.failure("proof", &failure);
-                    self.call_failed(&failure, asked);
-                    pause.rest_behind(self.boxes_before.get(), asked).await;
+                    self.log_failure("proof", &failure);
+                    self.record_call_failure(&failure, asked);
+                    delay.wait_by_rank(self.boxes_before.get(), asked).await;
                 }
             }
         }
     }
 
-    /// Whether an answer to a write was lost lately. A whole read proves the
-    /// same; it is larger, but not lost with the answers to writes.
+    /// Whether a write got no answer lately. Reading all entries confirms the same; the
+    /// answer is larger, but is not lost as answers to writes are.
     fn writes_unanswered(&self) -> bool {
-        let unanswered = self.unanswered.get();
-        unanswered.is_some_and(|at| at.elapsed() < UNANSWERED_TIME)
+        let unanswered = self.write_unanswered_at.get();
+        unanswered.is_some_and(|at| at.elapsed() < UNANSWERED_MAX)
     }
 
-    /// Asks for a proof after so many that failed.
-    async fn proof(&self, failures: u32) -> Result<(), Failure> {
+    /// Makes a freshness check after `failures` that failed in a row.
+    async fn check_freshness(&self, failures: u32) -> Result<(), Failure> {
         let asked = Instant::now();
         let revision = self.revision();
         let same_era = Some(revision.era()) == self.relay.standing.era();
         if revision.is_none() || !same_era || self.writes_unanswered() {
-            let limit = match failures % LONG_EVERY {
-                0 => CALL_TIME,
-                _ => SWAP_TIME,
+            let limit = match failures % LONG_LIMIT_EVERY {
+                0 => CALL_TIMEOUT,
+                _ => SWAP_TIMEOUT,
             };
             return self.read_operator(limit).await.map(|_| ());
         }
         if self.relay.standing.is_open() {
-            self.read_mark(SWAP_TIME).await;
+            self.read_mark(SWAP_TIMEOUT).await;
         }
-        // A change of nothing, under the condition that the entries are what is
-        // known here: small, and answered by the store's newest state.
+        // A no-op write under the condition that the entries have the revisions known
+        // here: the request is small, and the store answers it from its newest state.
         let mut others = self.emptied_conditions();
         others.extend(self.rollout_conditions());
         let marked = self.unmarked_era();
@@ -228,7 +229,7 @@
         let mut expected = vec![(key::CONFIG, revision)];
         expected.extend(others.iter().map(|(key, revision)| (&**key, *revision)));
         if expected.len() > ENTRIES_MAX {
-            return self.read_operator(CALL_TIME).await.map(|_| ());
+            return self.read_operator(CALL_TIMEOUT).await.map(|_| ());
         }
         let value = marked.map(Mark::value);
         let marks = value.iter().map(|value| Write {
@@ -237,52 +238,53 @@
             lease: None,
         });
         let marks: Vec<Write<'_>> = marks.collect();
-        let swap = self.store.swap(&expected, &marks, &[], SWAP_TIME).await;
+        let swap = self.store.swap(&expected, &marks, &[], SWAP_TIMEOUT).await;
         if matches!(swap, Err(Failure::NoAnswer(_))) {
-            self.unanswered.set(Some(Instant::now()));
+            self.write_unanswered_at.set(Some(Instant::now()));
         }
-        let asking = Asking {
+        let check = Check {
             asked,
             revision,
             marked,
         };
-        self.take_proof(swap?, &asking).await
+        self.apply_check(swap?, &check).await
     }
 
-    /// Takes over the answer to a proof.
-    async fn take_proof(&self, swap: Swap, asking: &Asking) -> Result<(), Failure> {
-        let asked = asking.asked;
+    /// Applies the answer to a freshness check.
+    async fn apply_check(&self, swap: Swap, check: &Check) -> Result<(), Failure> {
+        let asked = check.asked;
         match swap {
             Swap::Done(state) => {
-                if let Some(era) = asking.marked {
+                if let Some(era) = check.marked {
                     self.mark.set(Mark::written(era, state));
                 }
-                if self.revision() == asking.revision {
-                    self.see_state(state);
+                if self.revision() == check.revision {
+                    self.record_stored_state(state);
                     self.confirm(asked);
                     self.relay.rollouts.confirm_at(asked);
                 }
             }
-            // What holds by chance in another era proves nothing, nor does what is told
-            // without the state that it is of begin one.
-            Swap::EraChanged => return self.read_operator(CALL_TIME).await.map(|_| ()),
+            // Conditions that hold by coincidence in another era confirm nothing. Nor
+            // may an answer that does not state the store's revision make this box
+            // enter a new era.
+            Swap::EraChanged => return self.read_operator(CALL_TIMEOUT).await.map(|_| ()),
             Swap::Conflict(Current::Items(items)) => {
                 let era = self.relay.standing.era();
                 let is_other = items.iter().any(|it| Some(it.revision.era()) != era);
-                if is_other || !self.emptied_is(&items) || !self.orders_are(&items) {
-                    return self.read_operator(CALL_TIME).await.map(|_| ());
+                if is_other || !self.matches_emptied(&items) || !self.matches_orders(&items) {
+                    return self.read_operator(CALL_TIMEOUT).await.map(|_| ());
                 }
                 if let Some(mark) = items.iter().find(|item| item.key == mark::KEY) {
-                    self.take_mark(Some(mark));
+                    self.apply_mark(Some(mark));
                 }
-                self.take_named_stages(&items);
+                self.apply_checked_stages(&items);
                 self.relay.rollouts.confirm_at(asked);
                 let entry = items.into_iter().find(|item| item.key == key::CONFIG);
-                let taken = match entry {
-                    Some(item) => self.take_entry(item.revision, item.value),
-                    None => self.no_entry(asking.revision),
+                let applied = match entry {
+                    Some(item) => self.apply_entry(item.revision, item.value),
+                    None => self.record_no_entry(check.revision),
                 };
-                if taken {
+                if applied {
                     self.confirm(asked);
                 }
             }
--- a/crates/relay/src/follow/news.rs
+++ b/crates/relay/src/follow/change_log.rs
@@ -1,8 +1,9 @@
-//! Log lines on servers: what a box learns at once is one line.
+//! Log lines on changes of servers: changes that a box learns at the same time share
+//! one line.
 //!
-//! A box that starts learns of all servers; a line for each of them would make
-//! the log of a start grow with the fleet: more than half of all lines at 295
-//! boxes before 250 servers.
+//! A box that starts learns of all servers. With a line for each of them the log of a
+//! start would grow with the fleet: these were more than half of all lines at 295 boxes
+//! before 250 servers.
 
 use std::collections::BTreeMap;
 
@@ -11,47 +12,48 @@
 use tidepier_core::server::Server;
 use tidepier_ids as ids;
 
-/// Most ids in one line: 900 bytes of them.
+/// Most ids in one line; they take 900 bytes.
 const IDS_MAX: usize = 64;
 
-/// What became of a server.
+/// How a server changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Change {
-    /// It came.
+    /// Its entry appeared.
     Joined,
-    /// It started again under its id.
+    /// It was restarted under the same id.
     Restarted,
-    /// It says that it leaves.
+    /// It advertises that it is leaving.
     Leaving,
-    /// The store went back to an entry of it that does not stand against what is known.
+    /// The store was restored to a backup entry of it that contradicts the known state;
+    /// the entry is withheld.
     Withheld,
-    /// Its entry is gone.
+    /// It is removed: its entry was deleted.
     Gone,
-    /// Its entry is gone while the store cannot be relied on.
+    /// Its entry is missing while the store is unreachable or in its grace period.
     Missing,
-    /// Its entry is still missing when the store can be relied on again.
+    /// Its entry is still missing at the end of the grace period.
     Lapsed,
 }
 
-/// Servers of which the same became known.
+/// Servers with the same change.
 #[derive(Default)]
 struct Group {
     count: usize,
-    /// The first ones.
+    /// The first ones, up to `IDS_MAX`.
     ids: Vec<ids::Server>,
-    /// What is told of the first one if it is the only one.
+    /// Further keys of the log line, written if there is only one server.
     detail: String,
 }
 
-/// What became known of servers at once.
-pub(super) struct News {
-    /// When.
+/// Changes of servers that were learned at the same time.
+pub(super) struct Batch {
+    /// When they were learned.
     pub(super) at: Instant,
     groups: BTreeMap<Change, Group>,
 }
 
-impl News {
-    /// What becomes known now.
+impl Batch {
+    /// An empty set of changes, learned now.
     pub(super) fn new() -> Self {
         Self {
             at: Instant::now(),
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Adds a server as an entry of the store's `revision` tells it.
+    /// Adds a change of a server by its entry at `revision`.
     pub(super) fn add(&mut self, change: Change, server: &Server, revision: Revision) {
         let group = self.push(change, &server.id);
         if group.count == 1 {
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Adds a server of which no more is told.
+    /// Adds a change of a server with no details.
     pub(super) fn add_id(&mut self, change: Change, id: &ids::Server) {
         self.push(change, id);
     }
@@ -84,8 +86,8 @@
         group
     }
 
-    /// Writes the lines: one for each kind of change.
-    pub(super) fn tell(self) {
+    /// Writes one line for each kind of change.
+    pub(super) fn write(self) {
         for (change, Group { count, ids, detail }) in self.groups {
             let ids: Vec<&str> = ids.iter().map(ids::Server::as_str).collect();
             let ids = ids.join(",");
--- a/crates/relay/src/follow/changes.rs
+++ b/crates/relay/src/follow/changes.rs
@@ -1,4 +1,4 @@
-//! A watch of the store while it is of use.
+//! A watch of the store that ends when it is no longer needed.
 
 use std::time::Duration;
 
@@ -8,26 +8,26 @@
 
 use super::Follower;
 
-/// Time that a watch waits for a change: well under the store's longest, so
-/// that one that hangs unnoticed is soon asked anew.
-const WATCH_TIME: Duration = Duration::from_secs(15);
+/// Time that one call of a watch waits for a change. It is well below the store's own
+/// limit, so that a hanging call is soon replaced.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Changes as they happen, until the watch breaks or is of no more use.
+/// The changes of a watch, until it breaks or is no longer needed.
 pub(super) struct Changes<'a> {
     follower: &'a Follower,
     watch: store::Watch,
-    /// What is watched, for logs and counters.
+    /// Name of the watch in logs and counters.
     name: &'static str,
 }
 
 impl Changes<'_> {
-    /// The next changes, none of them if nothing changed for a while; `None`
-    /// at the end, after which the items have to be read again.
+    /// The next changes, or none of them if nothing changed for a while; `None` at the
+    /// end of the watch, after which the items have to be read again.
     pub(super) async fn next(&mut self) -> Option<Read<Vec<Event>>> {
-        self.next_within(WATCH_TIME).await
+        self.next_within(WATCH_TIMEOUT).await
     }
 
-    /// The same where nothing is to be waited for longer than `wait`.
+    /// The same, waiting for changes no longer than `wait`.
     pub(super) async fn next_within(&mut self, wait: Duration) -> Option<Read<Vec<Event>>> {
         let read = async { Some(self.watch.next(wait).await) };
         let interrupted = async {
@@ -36,11 +36,11 @@
         };
         match read.or(interrupted).await? {
             Ok(read) => {
-                self.follower.answered();
+                self.follower.record_store_answer();
                 Some(read)
             }
             Err(failure) => {
-                self.follower.failure(self.name, &failure);
+                self.follower.log_failure(self.name, &failure);
                 None
             }
         }
@@ -48,7 +48,7 @@
 }
 
 impl Follower {
-    /// The changes after `after`.
+    /// Watches for changes after the revision `after`.
     pub(super) fn changes(
         &self,
         scope: Scope<'_>,
@@ -62,9 +62,8 @@
         }
     }
 
-    /// Ends when a watch is of no more use: another box reads the store, or the
-    /// store is reachable again, so that the watch may hang on a
-    /// connection that nothing comes through any more.
+    /// Returns when a watch is no longer needed: another box reads the store, or the
+    /// store is reachable again, in which case the watch may hang on a dead connection.
     async fn interrupted(&self) {
         let relieved = async {
             while self.reads_store.get() {
--- a/crates/relay/src/follow/eras.rs
+++ b/crates/relay/src/follow/eras.rs
@@ -1,7 +1,8 @@
-//! What changes when the store comes back from an older copy of itself, and when its
-//! word is whole again.
+//! What happens when the store comes back restored from an older backup of itself, and
+//! when the operator entries count as complete again.
 //!
-//! Invariant: while the operator's entries may not be whole, nothing is proven.
+//! Invariant: while the operator entries may be incomplete, nothing is confirmed to be
+//! the newest.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,51 +14,56 @@
 use tidepier_core::era::{Era, Revision};
 use tidepier_core::store::{Item, Store};
 
+use super::change_log::Batch;
 use super::mark::{self, Mark};
-use super::news::News;
-use super::{Follower, CALL_TIME};
+use super::{Follower, CALL_TIMEOUT};
 use crate::era_state::{Entry, Evidence, Precedence, Prior, Waits};
 
-/// Time between two checks whether the time is over for which something stands.
-const BELIEF_LOOK: Duration = Duration::from_millis(250);
+/// Interval between two checks whether a hold time is over.
+const HOLD_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Follower {
-    /// The version in force here, if there is one.
+    /// The version of the configuration in force here, if there is one.
     pub(super) fn in_force(&self) -> Option<Version> {
         let view = &self.relay.view;
         view.catalog().map(|catalog| catalog.version)
     }
 
-    /// What the operator had asked of halls stands for a while where the store went back.
-    /// One that was emptied long ago, as far as this box knows, may be in use again: held
-    /// empty by several boxes, it left the other servers crowded.
+    /// The hold on emptied halls: for a while after a restore of the store, the known
+    /// state of halls takes precedence over backup entries and missing ones. There is
+    /// no hold if this box's view was older than that at the restore: a hall that was
+    /// emptied long ago, as far as this box knows, may be in use again. Kept empty by
+    /// several boxes, such a hall left the other servers crowded.
     pub(super) fn hold_halls(&self) -> Option<Precedence> {
-        let within = self.relay.bounds().rewrite_within;
+        let hold_time = self.relay.bounds().rewrite_within;
         let standing = &self.relay.standing;
-        standing.hold_recent(within, Instant::now())
+        standing.hold_recent(hold_time, Instant::now())
     }
 
-    /// What the operator had ordered stands for a while where the store went back.
+    /// The hold on rollout orders: for a while after a restore of the store, the known
+    /// orders take precedence over backup entries and missing ones.
     pub(super) fn hold(&self) -> Option<Precedence> {
-        let within = self.relay.bounds().rewrite_within;
-        self.relay.standing.hold(within, Instant::now())
+        let hold_time = self.relay.bounds().rewrite_within;
+        self.relay.standing.hold(hold_time, Instant::now())
     }
 
-    /// The same of what servers had said: one that is silent loses its entry within this.
+    /// The hold on server entries: what servers advertised before a restore takes
+    /// precedence over backup entries until an unresponsive server would have lost its
+    /// entry.
     pub(super) fn hold_servers(&self) -> Option<Precedence> {
-        let within = self.relay.bounds().entry_ttl;
-        self.relay.standing.hold(within, Instant::now())
+        let hold_time = self.relay.bounds().entry_ttl;
+        self.relay.standing.hold(hold_time, Instant::now())
     }
 
-    /// Records a state of the store that was heard of, from itself or from another box.
-    /// One of a later era ends what was followed of the former one.
-    pub(super) fn hear_state(&self, state: Revision) {
-        let (former, now) = (self.relay.standing.era(), Instant::now());
+    /// Records a state of the store that the store itself or another box reported. If
+    /// it is of a later era, stops following the stale one.
+    pub(super) fn observe_state(&self, state: Revision) {
+        let (earlier, now) = (self.relay.standing.era(), Instant::now());
         let before = Prior {
             in_force: self.in_force(),
-            entry: self.entry.get(),
-            state: self.state.get(),
-            age: self.followed_age(now),
+            entry: self.stored_entry.get(),
+            state: self.stored_state.get(),
+            age: self.synced_age(now),
         };
         if !self.relay.standing.observe(state, before, now) {
             return;
@@ -67,63 +73,65 @@
         log::info!(
             target: "belief",
             "event=store_era era={era} before={} first={state} in_force={} age_ms={} settled={}",
-            former.map_or_else(|| "-".to_owned(), |former| former.to_string()),
+            earlier.map_or_else(|| "-".to_owned(), |earlier| earlier.to_string()),
             self.relay.view.version(),
             self.relay.view.age().map_or(-1, |age| age.as_millis() as i64),
             self.relay.standing.is_settled(),
         );
-        self.note_settled();
-        if former.is_none() {
+        self.report_settled();
+        if earlier.is_none() {
             self.era_changed.notify();
             return;
         }
         self.mark.set(Mark::default());
         self.relay.rollouts.restored();
         self.withheld.borrow_mut().clear();
-        let answered = self.answered.get().unwrap_or(now);
-        let contact = self.relay.bounds().grace_period;
-        self.doubt.restored(answered, now, contact);
-        // Watches of the former era end, and what goes missing is waited for.
+        let answered = self.answered_at.get().unwrap_or(now);
+        let grace_period = self.relay.bounds().grace_period;
+        self.availability
+            .record_restore(answered, now, grace_period);
+        // Ends the watches of the stale era, and begins the grace period for missing
+        // entries.
         self.store_returned.notify();
         self.era_changed.notify();
-        self.touch();
+        self.record_change();
     }
 
-    /// Records that all that the store held at `asked` is known here, and proves what is
-    /// in force if the operator's entries are whole.
+    /// Records that the local view covers everything that the store held at `asked`,
+    /// and confirms it as the newest if the operator entries are complete.
     pub(super) fn confirm(&self, asked: Instant) {
-        self.follow_since(asked);
+        self.record_synced(asked);
         let bounds = self.relay.bounds();
         let waits = Waits {
             stable: bounds.grace_period,
             rewrite: bounds.rewrite_within,
         };
-        let (stored, in_force) = (self.entry.get(), self.in_force());
+        let (stored, in_force) = (self.stored_entry.get(), self.in_force());
         let standing = &self.relay.standing;
-        let ground = standing.evaluate(stored, in_force, waits, asked);
-        if let Some(ground) = ground {
-            self.settle(ground);
+        let evidence = standing.evaluate(stored, in_force, waits, asked);
+        if let Some(evidence) = evidence {
+            self.settle(evidence);
         }
         if self.relay.standing.is_settled() {
-            self.prove_at(asked);
+            self.record_confirmation(asked);
         }
     }
 
-    /// Records that the operator's entries are whole in this era.
-    pub(super) fn settle(&self, ground: Evidence) {
-        if !self.relay.standing.settle(ground) {
+    /// Records that the operator entries are complete in this era.
+    pub(super) fn settle(&self, evidence: Evidence) {
+        if !self.relay.standing.settle(evidence) {
             return;
         }
         let era = self.relay.standing.era().unwrap_or_default();
         log::info!(
             target: "belief",
-            "event=store_era_settled era={era} why={ground} version={}",
+            "event=store_era_settled era={era} why={evidence} version={}",
             self.relay.view.version()
         );
-        self.note_settled();
+        self.report_settled();
     }
 
-    fn note_settled(&self) {
+    fn report_settled(&self) {
         let value = if self.relay.standing.is_settled() {
             1.0
         } else {
@@ -132,7 +140,7 @@
         metrics::gauge!("tidepier_store_settled").set(value);
     }
 
-    /// Waits until this box reads a store whose operator's entries may not be whole.
+    /// Waits until this box reads a store whose operator entries may be incomplete.
     pub async fn wait_until_unsettled(&self) {
         loop {
             let heard = self.relay.standing.era().is_some();
@@ -143,7 +151,7 @@
         }
     }
 
-    /// Waits until the store goes back to an older copy.
+    /// Waits until the store is restored from an older backup.
     pub async fn wait_for_restore(&self) {
         loop {
             self.era_changed.wait().await;
@@ -153,25 +161,26 @@
         }
     }
 
-    /// Records that other boxes were asked what they remember.
+    /// Records that other boxes were asked for the operator entries that they remember.
     pub fn note_recall(&self) {
         self.relay.standing.ask();
-        self.asked_others.notify();
+        self.recall_done.notify();
     }
 
-    /// Looks whether another box found the operator's entries whole in this era.
+    /// Reads the mark, by which another box may have recorded that the operator entries
+    /// are complete in this era.
     pub(super) async fn read_mark(&self, limit: Duration) {
         match self.store.get(mark::KEY, limit).await {
             Ok(read) => {
-                self.hear_state(read.revision);
-                self.take_mark(read.value.as_ref());
+                self.observe_state(read.revision);
+                self.apply_mark(read.value.as_ref());
             }
-            Err(failure) => self.failure("mark", &failure),
+            Err(failure) => self.log_failure("mark", &failure),
         }
     }
 
-    /// Takes over the mark, or that there is none.
-    pub(super) fn take_mark(&self, item: Option<&Item>) {
+    /// Applies the mark, or its absence.
+    pub(super) fn apply_mark(&self, item: Option<&Item>) {
         let mark = item.map(Mark::read).unwrap_or_default();
         self.mark.set(mark);
         let era = mark.revision.era();
@@ -180,62 +189,63 @@
         }
     }
 
-    /// The era that the mark should name and does not.
+    /// The era that has to be written into the mark; `None` where nothing has to be.
     pub(super) fn unmarked_era(&self) -> Option<Era> {
         let era = self.relay.standing.era().filter(|era| *era != Era(0))?;
         let is_due = self.relay.standing.is_settled() && !self.mark.get().names(era);
         is_due.then_some(era)
     }
 
-    /// Records the configuration's entry as the store has it in a state.
-    pub(super) fn set_entry(&self, entry: Entry) {
-        self.entry.set(Some(entry));
-        self.see_state(entry.revision);
+    /// Records the configuration's entry of the store.
+    pub(super) fn set_stored_entry(&self, entry: Entry) {
+        self.stored_entry.set(Some(entry));
+        self.record_stored_state(entry.revision);
     }
 
-    /// Records a state of the store in which the configuration's entry was the known one.
-    pub(super) fn see_state(&self, state: Revision) {
-        self.state.set(self.state.get().max(state));
+    /// Records a state of the store in which the configuration's entry was the known
+    /// one.
+    pub(super) fn record_stored_state(&self, state: Revision) {
+        self.stored_state.set(self.stored_state.get().max(state));
     }
 
-    /// Has the operator's entries hold as the store has them, once the time is over to
-    /// write again what it lost; does not end.
+    /// Replaces held operator entries by what the store has once the hold time is over,
+    /// in which the operator writes again what the store lost; does not end.
     pub async fn expire_held_entries(self: Rc<Self>) {
         loop {
-            if self.is_as_stored() {
-                self.held.wait().await;
+            if self.matches_store() {
+                self.entries_held.wait().await;
             } else if self.hold().is_some() || !self.reads_store.get() {
-                // Boxes that do not read it are told.
-                Timer::after(BELIEF_LOOK).await;
-            } else if self.read_operator_now(CALL_TIME).await.is_err() {
-                Timer::after(CALL_TIME).await;
+                // A box that does not read the store gets the entries from its reader.
+                Timer::after(HOLD_CHECK_INTERVAL).await;
+            } else if self.read_operator_now(CALL_TIMEOUT).await.is_err() {
+                Timer::after(CALL_TIMEOUT).await;
             }
         }
     }
 
-    /// Whether what the operator asked of halls and ordered is what the store has.
-    fn is_as_stored(&self) -> bool {
+    /// Whether the emptied halls and the orders in force here are those in the store.
+    fn matches_store(&self) -> bool {
         let rollouts = self.relay.rollouts.all();
         self.emptied.is_stored() && rollouts.iter().all(|known| known.stored)
     }
 
-    /// Has servers that the store went back on stand as it says, once those that live
-    /// have had the time to say otherwise; does not end.
+    /// Applies withheld entries once the hold time is over, in which running servers
+    /// write newer ones; does not end.
     pub async fn release_withheld_servers(self: Rc<Self>) {
         loop {
             if self.withheld.borrow().is_empty() {
-                self.held.wait().await;
+                self.entries_held.wait().await;
                 continue;
             }
             if self.hold_servers().is_some() {
-                Timer::after(BELIEF_LOOK).await;
+                Timer::after(HOLD_CHECK_INTERVAL).await;
                 continue;
             }
             let rows = std::mem::take(&mut *self.withheld.borrow_mut());
-            let mut news = News::new();
+            let mut batch = Batch::new();
             rows.into_values()
-                .for_each(|row| self.announced(row, &mut news));
-            news.tell();
+                .for_each(|row| self.apply_row(row, &mut batch));
+            batch.write();
         }
     }
 }
--- a/crates/relay/src/follow/halls.rs
+++ b/crates/relay/src/follow/halls.rs
@@ -1,4 +1,4 @@
-//! The halls that the operator asked to empty: their entries in the store.
+//! The operator's entries in the store that request halls to be emptied.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -13,11 +13,11 @@
 use super::Follower;
 use crate::emptied_halls::{List, Row};
 
-/// Time between two looks at what still runs in halls that are to be empty.
-const LOOK_TIME: Duration = Duration::from_millis(500);
+/// Interval between two checks for requests that still run in halls to be emptied.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Follower {
-    /// The halls to be emptied among all entries of the operator as of a revision.
+    /// The halls to be emptied among all operator entries as of a revision.
     pub(super) fn emptied_list(&self, items: &[Item], revision: Revision) -> List {
         List {
             rows: items.iter().filter_map(row).collect(),
@@ -25,18 +25,18 @@
         }
     }
 
-    /// Takes over which halls are to be empty; whether that is what is known here
-    /// now.
-    pub(super) fn take_emptied(&self, list: &List) -> bool {
+    /// Applies a list of the halls to be emptied; returns whether it equals what is
+    /// known here now.
+    pub(super) fn apply_emptied_list(&self, list: &List) -> bool {
         let same = self.emptied.merge(list, self.hold_halls());
         self.apply_emptied();
-        self.held.notify();
+        self.entries_held.notify();
         same
     }
 
-    /// Takes over a change of the operator's entries, to be followed by
-    /// [`apply_emptied`](Self::apply_emptied).
-    pub(super) fn take_emptied_event(&self, event: &Event) {
+    /// Applies a change of an operator entry; [`apply_emptied`](Self::apply_emptied)
+    /// has to be called afterwards.
+    pub(super) fn apply_emptied_event(&self, event: &Event) {
         match event {
             Event::Put(item) => {
                 if let Some(Row { hall, revision }) = row(item) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Puts in force which halls are to be empty.
+    /// Passes the halls to be emptied on to the fleet.
     pub(super) fn apply_emptied(&self) {
         let halls = self.emptied.halls();
         let changed = self.relay.fleet.set_emptied(&halls, Instant::now());
@@ -70,10 +70,11 @@
             metrics::gauge!("tidepier_hall_emptied", "hall" => hall.to_string()).set(value);
         }
         self.emptied_changed.notify();
-        self.touch();
+        self.record_change();
     }
 
-    /// The entries that a proof has to name: each hall's, be it absent.
+    /// The entries that a freshness check has to name, with their revisions: one for
+    /// each hall, also where it is absent.
     pub(super) fn emptied_conditions(&self) -> Vec<(String, Revision)> {
         let stored = self.emptied.stored();
         let named = self.relay.halls().into_iter();
@@ -85,16 +86,17 @@
         conditions.collect()
     }
 
-    /// Whether the entries that a proof named are as the store was known to have them.
-    pub(super) fn emptied_is(&self, items: &[Item]) -> bool {
-        let told = items.iter().filter_map(row);
-        let told: BTreeMap<ids::Hall, Revision> =
-            told.map(|row| (row.hall, row.revision)).collect();
-        told == self.emptied.stored()
+    /// Whether these entries, which a freshness check returned, are those that the
+    /// store was known to have.
+    pub(super) fn matches_emptied(&self, items: &[Item]) -> bool {
+        let found = items.iter().filter_map(row);
+        let found: BTreeMap<ids::Hall, Revision> =
+            found.map(|row| (row.hall, row.revision)).collect();
+        found == self.emptied.stored()
     }
 
-    /// Tells by metrics and log what still runs in halls that are to be empty;
-    /// does not end.
+    /// Reports by metrics and log which requests still run in halls to be emptied; does
+    /// not end.
     pub async fn report_emptying(self: Rc<Self>) {
         loop {
             self.emptied_changed.wait().await;
@@ -102,12 +104,12 @@
             while !busy.is_empty() {
                 let asked = self.emptied.halls();
                 busy.retain(|hall| self.still_runs(hall, asked.contains(hall)));
-                Timer::after(LOOK_TIME).await;
+                Timer::after(CHECK_INTERVAL).await;
             }
         }
     }
 
-    /// Whether requests of this box still run in a hall that is to be empty.
+    /// Whether requests of this box still run in a hall that is to be emptied.
     fn still_runs(&self, hall: &ids::Hall, asked: bool) -> bool {
         let running = self.relay.fleet.running_in(hall);
         let gauge = metrics::gauge!("tidepier_hall_requests", "hall" => hall.to_string());
@@ -119,7 +121,7 @@
     }
 }
 
-/// The hall that an entry asks to empty; what it holds says nothing more.
+/// The hall that an entry names; the entry's value is not used.
 fn row(item: &Item) -> Option<Row> {
     let hall = hall(&item.key)?;
     let revision = item.revision;
--- a/crates/relay/src/follow/mark.rs
+++ b/crates/relay/src/follow/mark.rs
@@ -1,36 +1,35 @@
-//! The entry of the store in which boxes keep the era in which they found the operator's
-//! entries whole, for boxes that start in it.
+//! The mark: an entry of the store in which boxes record the newest era in which they
+//! found the operator entries complete, for boxes that start later in that era.
 
 use serde::{Deserialize, Serialize};
 use tidepier_core::era::{Era, Revision};
 use tidepier_core::store::Item;
 
-/// Where it lies.
+/// Its key.
 pub(super) const KEY: &str = "tidepier/era";
 
-/// What it holds.
+/// Its value.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
-struct Kept {
+struct Value {
     era: u64,
 }
 
-/// The entry as the store has it.
+/// The entry as it is in the store.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Mark {
-    /// Its revision.
     pub(super) revision: Revision,
-    /// The era that it names.
+    /// The era that it names; `None` if it is absent or unreadable.
     era: Option<Era>,
 }
 
 impl Mark {
-    /// What is written for an era.
+    /// The value to write for an era.
     pub(super) fn value(era: Era) -> Vec<u8> {
-        let kept = Kept { era: era.0 };
-        serde_json::to_vec(&kept).expect("a number is JSON")
+        let value = Value { era: era.0 };
+        serde_json::to_vec(&value).expect("a number is JSON")
     }
 
-    /// What was written for an era, in a change that made this state.
+    /// The mark after this box wrote it for an era, at this revision.
     pub(super) fn written(era: Era, revision: Revision) -> Self {
         Self {
             revision,
@@ -38,10 +37,10 @@
         }
     }
 
-    /// The entry as an item tells it; one that cannot be read names no era.
+    /// Decodes the entry; one that is unreadable names no era.
     pub(super) fn read(item: &Item) -> Self {
-        let era = match serde_json::from_slice::<Kept>(&item.value) {
-            Ok(kept) => Some(Era(kept.era)),
+        let era = match serde_json::from_slice::<Value>(&item.value) {
+            Ok(value) => Some(Era(value.era)),
             Err(error) => {
                 log::error!(target: "belief", "event=mark_invalid why=\"{error}\"");
                 None
@@ -53,7 +52,7 @@
         }
     }
 
-    /// Whether it names an era.
+    /// Whether it names this era.
     pub(super) fn names(&self, era: Era) -> bool {
         self.era == Some(era)
     }
--- a/crates/relay/src/follow/rollouts.rs
+++ b/crates/relay/src/follow/rollouts.rs
@@ -1,5 +1,5 @@
-//! The operator's orders to move services between releases: their entries in the store,
-//! and those in which boxes keep how far these have come.
+//! The store's entries on rollouts: the operator's orders to move services between
+//! releases, and the stages in which boxes record the progress of these orders.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
 use crate::rollout::List;
 
 impl Follower {
-    /// Takes over the orders among all entries of the operator as of a revision.
-    pub(super) fn take_orders(&self, items: &[Item], revision: Revision) {
+    /// Applies the orders among all operator entries as of a revision.
+    pub(super) fn apply_orders(&self, items: &[Item], revision: Revision) {
         let rollouts = &self.relay.rollouts;
         for known in rollouts.all() {
             let service = &known.order.service;
@@ -23,14 +23,14 @@
                 rollouts.missing(service, revision, self.hold());
             }
         }
-        items.iter().for_each(|item| self.take_order(item));
-        self.held.notify();
+        items.iter().for_each(|item| self.apply_order(item));
+        self.entries_held.notify();
     }
 
-    /// Takes over a change of the operator's entries.
-    pub(super) fn take_order_event(&self, event: &Event) {
+    /// Applies a change of an operator entry.
+    pub(super) fn apply_order_event(&self, event: &Event) {
         match event {
-            Event::Put(item) => self.take_order(item),
+            Event::Put(item) => self.apply_order(item),
             Event::Delete { key, revision } => {
                 if let Some(service) = service(key) {
                     self.relay.rollouts.cancel(&service, *revision);
@@ -39,7 +39,7 @@
         }
     }
 
-    fn take_order(&self, item: &Item) {
+    fn apply_order(&self, item: &Item) {
         let Some(service) = service(&item.key) else {
             return;
         };
@@ -57,7 +57,8 @@
         }
     }
 
-    /// The entries that a proof has to name: each order and how far it has come.
+    /// The entries that a freshness check has to name, with their revisions: each
+    /// order, and its stage.
     pub(super) fn rollout_conditions(&self) -> Vec<(String, Revision)> {
         let known = self.relay.rollouts.all();
         let conditions = known.iter().flat_map(|known| {
@@ -75,8 +76,9 @@
         conditions.collect()
     }
 
-    /// Whether the orders that a proof named are as the store was known to have them.
-    pub(super) fn orders_are(&self, items: &[Item]) -> bool {
+    /// Whether the orders that a freshness check returned are those that the store was
+    /// known to have.
+    pub(super) fn matches_orders(&self, items: &[Item]) -> bool {
         self.relay.rollouts.all().iter().all(|known| {
             let key = key::rollout(&known.order.service);
             let item = items.iter().find(|item| item.key == key);
@@ -85,9 +87,9 @@
         })
     }
 
-    /// Takes over how far orders have come by the entries that a proof named, absent ones
-    /// included.
-    pub(super) fn take_named_stages(&self, items: &[Item]) {
+    /// Applies the stages that a freshness check returned. A known order whose stage is
+    /// not among them has none.
+    pub(super) fn apply_checked_stages(&self, items: &[Item]) {
         for known in self.relay.rollouts.all() {
             let key = stage::key(&known.order.service);
             if !items.iter().any(|item| item.key == key) {
@@ -97,7 +99,7 @@
         self.take_stages(items);
     }
 
-    /// Takes over how far orders have come, of entries of any kind.
+    /// Applies the stages among entries of any kind.
     pub(crate) fn take_stages(&self, items: &[Item]) {
         for item in items {
             let Some(service) = stage::service(&item.key) else {
@@ -118,15 +120,15 @@
         }
     }
 
-    /// Takes over what another box answered to a question that was sent at `asked`.
-    pub(super) fn take_rollouts(&self, list: Option<&List>, asked: Instant) {
+    /// Applies another box's answer to a request that was sent at `asked`.
+    pub(super) fn apply_rollouts(&self, list: Option<&List>, asked: Instant) {
         let Some(list) = list else {
             return;
         };
         let same = self.relay.rollouts.merge(list, self.hold(), Instant::now());
         let age = list.age_ms.filter(|_| same).map(Duration::from_millis);
-        if let Some(proven) = age.and_then(|age| asked.checked_sub(age)) {
-            self.relay.rollouts.confirm_at(proven);
+        if let Some(confirmed) = age.and_then(|age| asked.checked_sub(age)) {
+            self.relay.rollouts.confirm_at(confirmed);
         }
     }
 }
--- a/crates/relay/src/follow/servers.rs
+++ b/crates/relay/src/follow/servers.rs
@@ -1,4 +1,4 @@
-//! The servers: their entries in the store.
+//! The entries of servers in the store.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -10,25 +10,25 @@
 use tidepier_ids as ids;
 use tidepier_platform::{key, server};
 
-use super::news::{self, News};
-use super::pause::{Pause, PROBING_BOXES};
-use super::{Follower, CALL_TIME};
+use super::change_log::{self, Batch};
+use super::retry::{Delay, PROBING_BOXES};
+use super::{Follower, CALL_TIMEOUT};
 use crate::message::follow::Row;
 use crate::timeout;
 
-/// Time in which further changes of servers are gathered before the watch goes
-/// on: each return of a watch is a call that is paid for.
-const GATHER_TIME: Duration = Duration::from_millis(400);
-/// Changes in one return of a watch from which on more are likely to wait: the store
-/// tells some hundred at once, and 10,000 servers that join together are twenty returns.
-const MANY: usize = 100;
-/// Longest wait for changes that a watch is asked for first where it goes on from what
-/// other boxes told.
-const RESUME_TIME: Duration = Duration::from_millis(20);
-/// Time between two checks whether the store can be relied on again.
-const LAPSE_LOOK: Duration = Duration::from_millis(100);
+/// Time for which further changes of servers are gathered before the watch is called
+/// again: each call of a watch costs.
+const GATHER_INTERVAL: Duration = Duration::from_millis(400);
+/// Number of changes in one answer of a watch from which more are likely to be pending,
+/// so that nothing is gathered: the store returns a few hundred at once, and 10,000
+/// servers that join together take twenty answers.
+const PENDING_CHANGES_MIN: usize = 100;
+/// Longest wait of the first call of a watch that continues from what other boxes sent.
+const RESUME_TIMEOUT: Duration = Duration::from_millis(20);
+/// Interval at which the end of the grace period is checked for.
+const GRACE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Whether a watch goes on from what other boxes told.
+/// Whether a watch continues from what other boxes sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Resumes {
     Yes,
@@ -38,117 +38,121 @@
 impl Follower {
     /// Follows the servers while this box reads the store; does not end.
     pub async fn servers(self: Rc<Self>) {
-        let mut pause = Pause::default();
+        let mut delay = Delay::default();
         loop {
-            self.ready_to_read().await;
+            self.wait_until_readable().await;
             let known = self.record.complete_revision();
             if !known.is_none() && self.watch_servers(known, Resumes::Yes).await {
                 self.servers_known.set(false);
-                pause.reset();
-                pause.rest().await;
+                delay.reset();
+                delay.wait().await;
                 continue;
             }
-            self.ready_to_read().await;
-            self.leave_to_readers().await;
-            self.ready_to_read().await;
+            self.wait_until_readable().await;
+            self.wait_for_reader().await;
+            self.wait_until_readable().await;
             let asked = Instant::now();
-            match self.store.list(key::SERVERS, false, CALL_TIME).await {
+            match self.store.list(key::SERVERS, false, CALL_TIMEOUT).await {
                 Ok(read) => {
-                    pause.reset();
-                    self.hear_state(read.revision);
-                    self.answered();
-                    self.take_servers(&read.value, read.revision);
+                    delay.reset();
+                    self.observe_state(read.revision);
+                    self.record_store_answer();
+                    self.apply_server_list(&read.value, read.revision);
                     self.servers_known.set(true);
                     self.watch_servers(read.revision, Resumes::No).await;
                 }
-                Err(failure) => self.read_failed("servers", &failure, asked),
+                Err(failure) => self.record_read_failure("servers", &failure, asked),
             }
             self.servers_known.set(false);
-            pause.rest().await;
+            delay.wait().await;
         }
     }
 
-    /// Waits for a box that comes before this one to tell the servers, as long as the store
-    /// cannot be relied on in what it lacks. All boxes of a hall begin to read when they
-    /// lose sight of the store, and after a return from an older copy no watch goes on.
-    async fn leave_to_readers(&self) {
+    /// Waits, during the grace period of the store, for boxes that rank before this one
+    /// to send the servers. All boxes of a hall begin to read the store when they lose
+    /// grace_period with it, and after a restore from an older backup no watch can continue,
+    /// so that each of them would list all servers.
+    async fn wait_for_reader(&self) {
         if self.boxes_before.get() < PROBING_BOXES || self.record.complete_revision().is_none() {
             return;
         }
         while self.reads_store.get() && self.in_grace_period() {
-            timeout::within(LAPSE_LOOK, self.role_changed.wait()).await;
+            timeout::within(GRACE_CHECK_INTERVAL, self.role_changed.wait()).await;
         }
     }
 
-    /// Follows changes after a revision up to which all servers are known. One that
-    /// resumes has to be answered first, at once: until then nothing shows that the
-    /// store still knows these changes. Returns whether the store answered at all.
+    /// Watches for changes after a revision up to which all servers are known. A watch
+    /// that resumes makes a first call that returns at once: only its answer shows that
+    /// the store still has these changes. Returns whether the store answered at all.
     ///
-    /// A box that takes over reading lists nothing so: a list of 10,000 servers is
-    /// 4 MB of the store's link, and boxes that lose a reader may all begin to read.
+    /// A box that takes over reading this way lists no servers: a list of 10,000
+    /// servers takes 4 MB on the store's link, and all boxes that lose their reader may
+    /// begin to read.
     async fn watch_servers(&self, from: Revision, resumes: Resumes) -> bool {
         let scope = Scope::Prefix(key::SERVERS);
         let mut changes = self.changes(scope, from, "servers_watch");
         if resumes == Resumes::Yes {
-            let Some(read) = changes.next_within(RESUME_TIME).await else {
+            let Some(read) = changes.next_within(RESUME_TIMEOUT).await else {
                 return false;
             };
-            self.take_server_events(&read);
+            self.apply_server_events(&read);
             self.servers_known.set(true);
-            self.touch();
+            self.record_change();
         }
         while let Some(read) = changes.next().await {
-            self.take_server_events(&read);
-            if (1..MANY).contains(&read.value.len()) {
-                Timer::after(GATHER_TIME).await;
+            self.apply_server_events(&read);
+            if (1..PENDING_CHANGES_MIN).contains(&read.value.len()) {
+                Timer::after(GATHER_INTERVAL).await;
             }
         }
         true
     }
 
-    fn take_server_events(&self, read: &Read<Vec<Event>>) {
-        let mut news = News::new();
+    fn apply_server_events(&self, read: &Read<Vec<Event>>) {
+        let mut batch = Batch::new();
         for event in &read.value {
-            self.take_server_event(event, &mut news);
+            self.apply_server_event(event, &mut batch);
         }
-        news.tell();
+        batch.write();
         self.record.confirm(read.revision);
     }
 
-    fn take_servers(&self, items: &[Item], revision: Revision) {
-        let mut news = News::new();
-        let taken = items.iter().map(|item| self.take_server(item, &mut news));
-        let present: HashSet<ids::Server> = taken.flatten().collect();
+    fn apply_server_list(&self, items: &[Item], revision: Revision) {
+        let mut batch = Batch::new();
+        let applied = items
+            .iter()
+            .map(|item| self.apply_server_entry(item, &mut batch));
+        let present: HashSet<ids::Server> = applied.flatten().collect();
         for id in self.relay.fleet.ids() {
             if !present.contains(&id) {
-                self.entry_gone(&id, revision, &mut news);
+                self.entry_removed(&id, revision, &mut batch);
             }
         }
         self.record.confirm(revision);
-        news.tell();
+        batch.write();
     }
 
-    fn take_server_event(&self, event: &Event, news: &mut News) {
+    fn apply_server_event(&self, event: &Event, batch: &mut Batch) {
         let (key, revision) = (event.key(), event.revision());
-        let taken = match event {
-            Event::Put(item) => self.take_server(item, news),
+        let applied = match event {
+            Event::Put(item) => self.apply_server_entry(item, batch),
             Event::Delete { .. } => None,
         };
-        if taken.is_some() {
+        if applied.is_some() {
             return;
         }
-        // An entry that cannot be read names no server, as an absent one.
+        // An unreadable entry counts as absent.
         if let Some(id) = key::server_id(key).and_then(|id| id.parse().ok()) {
-            self.entry_gone(&id, revision, news);
+            self.entry_removed(&id, revision, batch);
         }
     }
 
-    fn take_server(&self, item: &Item, news: &mut News) -> Option<ids::Server> {
+    fn apply_server_entry(&self, item: &Item, batch: &mut Batch) -> Option<ids::Server> {
         let id = key::server_id(&item.key)?;
         match server::decode(id, &item.value) {
             Ok(server) => {
                 let id = server.id.clone();
-                self.announced(Row::new(&server, item.revision), news);
+                self.apply_row(Row::new(&server, item.revision), batch);
                 Some(id)
             }
             Err(error) => {
@@ -158,36 +162,36 @@
         }
     }
 
-    fn entry_gone(&self, id: &ids::Server, revision: Revision, news: &mut News) {
+    fn entry_removed(&self, id: &ids::Server, revision: Revision, batch: &mut Batch) {
         self.withheld.borrow_mut().remove(id);
         if self.is_reliable() {
-            self.drop_server(id, revision, news::Change::Gone, news);
+            self.drop_server(id, revision, change_log::Change::Gone, batch);
         } else {
             self.relay.fleet.mark_missing(id);
-            news.add_id(news::Change::Missing, id);
+            batch.add_id(change_log::Change::Missing, id);
         }
     }
 
-    /// Whether an entry that is absent is gone.
+    /// Whether a missing entry counts as deleted.
     fn is_reliable(&self) -> bool {
-        self.doubt.is_over(Instant::now())
+        self.availability.is_authoritative(Instant::now())
     }
 
-    /// Drops servers whose entries stay missing after the store is back; does
-    /// not end.
+    /// Drops servers whose entries are still missing at the end of the grace period;
+    /// does not end.
     pub async fn drop_lapsed_servers(self: Rc<Self>) {
         loop {
             self.store_returned.wait().await;
-            // The store may go and come back again meanwhile.
+            // The store may become unreachable and come back again meanwhile.
             while !self.is_reliable() {
-                Timer::after(LAPSE_LOOK).await;
+                Timer::after(GRACE_CHECK_INTERVAL).await;
             }
-            let mut news = News::new();
+            let mut batch = Batch::new();
             for id in self.relay.fleet.missing() {
                 let seen = self.record.newest_revision();
-                self.drop_server(&id, seen, news::Change::Lapsed, &mut news);
+                self.drop_server(&id, seen, change_log::Change::Lapsed, &mut batch);
             }
-            news.tell();
+            batch.write();
         }
     }
 }
--- a/crates/relay/src/follow/shared.rs
+++ b/crates/relay/src/follow/shared.rs
@@ -1,4 +1,4 @@
-//! A read that several tasks want: one makes it, the others wait for what it found.
+//! A read that several tasks need: one task makes it, the others wait for its result.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 
 use crate::notifier::Notifier;
 
-/// Whether a read is under way, and what the last one found.
+/// Whether a read is under way, and the result of the last one.
 #[derive(Default)]
 pub(super) struct Read {
     under_way: Cell<bool>,
@@ -18,24 +18,25 @@
 }
 
 impl Read {
-    /// Whether one is under way.
+    /// Whether a read is under way.
     pub(super) fn is_under_way(&self) -> bool {
         self.under_way.get()
     }
 
-    /// Waits for the end of the one under way; returns what it found, if it did.
+    /// Waits for the end of the read under way; returns its result, or `None` if it
+    /// failed.
     pub(super) async fn wait(&self) -> Option<Revision> {
         self.ended.wait().await;
         self.found.get()
     }
 
-    /// What one found that ended less than `most` ago.
-    pub(super) fn recent(&self, most: Duration) -> Option<Revision> {
+    /// The result of the last read if that ended less than `max_age` ago.
+    pub(super) fn recent(&self, max_age: Duration) -> Option<Revision> {
         let at = self.at.get()?;
-        self.found.get().filter(|_| at.elapsed() < most)
+        self.found.get().filter(|_| at.elapsed() < max_age)
     }
 
-    /// Begins one; it ends with the guard, be it dropped.
+    /// Begins a read, which ends when the guard is dropped.
     pub(super) fn begin(&self) -> Guard<'_> {
         self.under_way.set(true);
         self.found.set(None);
@@ -47,7 +48,7 @@
 pub(super) struct Guard<'a>(&'a Read);
 
 impl Guard<'_> {
-    /// Ends the read with what it found.
+    /// Ends the read with its result.
     pub(super) fn end(self, found: Option<Revision>) {
         self.0.found.set(found);
         self.0.at.set(Some(Instant::now()));
--- a/crates/relay/src/revision_serde.rs
+++ b/crates/relay/src/revision_serde.rs
@@ -1,7 +1,7 @@
-//! Revisions as messages carry them: a number, and the era beside it.
+//! Serialization of revisions in messages: a number, and the era next to it.
 //!
-//! Boxes of an older form know numbers alone. They ignore the era, and send none; it is
-//! left out where the store tells none.
+//! Boxes that run an older release know only the number: they ignore the era and send
+//! none. The era is left out where the store reports none.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use tidepier_core::era::{Era, Revision};
@@ -14,13 +14,13 @@
     era: u64,
 }
 
-/// Whether an era is that of a store which tells none.
+/// Whether this is the era 0, that of a store that reports no eras.
 #[allow(clippy::trivially_copy_pass_by_ref)] // As serde calls it.
 pub(crate) fn is_default_era(era: &u64) -> bool {
     *era == 0
 }
 
-/// Writes a revision into the message that it is a part of.
+/// Writes a revision into the message that contains it.
 pub(crate) fn serialize<S: Serializer>(revision: &Revision, to: S) -> Result<S::Ok, S::Error> {
     let stamp = Stamp {
         revision: revision.number(),
@@ -29,14 +29,14 @@
     stamp.serialize(to)
 }
 
-/// Reads a revision from the message that it is a part of.
+/// Reads a revision from the message that contains it.
 pub(crate) fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Revision, D::Error> {
     let stamp = Stamp::deserialize(from)?;
     Ok(Revision::new(Era(stamp.era), stamp.revision))
 }
 
-/// A revision in a place where there is room for its number alone: whoever reads it
-/// takes the era from the message. For `#[serde(with)]`.
+/// A revision that is serialized as its number alone: the reader takes the era from the
+/// rest of the message. For `#[serde(with)]`.
 pub(crate) mod number {
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
     use tidepier_core::era::Revision;
@@ -46,7 +46,7 @@
         revision.number().serialize(to)
     }
 
-    /// Reads the number, as one of a store that tells no era.
+    /// Reads the number as a revision of era 0.
     pub(crate) fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Revision, D::Error> {
         u64::deserialize(from).map(Revision::of)
     }
--- a/crates/relay/src/server_history.rs
+++ b/crates/relay/src/server_history.rs
@@ -1,4 +1,4 @@
-//! A record of how the servers changed, for boxes that ask again and again.
+//! The history of server changes, for boxes that poll for them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
@@ -13,118 +13,123 @@
 use crate::message::follow::{Change, Position, Row, Servers};
 use crate::message::part::{Part, Piece};
 
-/// Changes kept; a box that is further behind gets more than it lacks.
+/// Fewest changes that are kept. A box that is further behind is sent more than it
+/// lacks.
 const CHANGES_MAX: usize = 64;
-/// The same as a part of all servers: so many may change at once, as when the boxes of
-/// a hall lose sight of them together.
+/// The same relative to the number of servers, of which one in so many is kept: that
+/// many may change at once, as when the boxes of a hall lose contact with them
+/// together.
 const CHANGES_PART: usize = 4;
-/// Servers in one part of a list: 40 KB, 17 ms over a link of 20 Mbit/s.
-const PART_ROWS: usize = 1_024;
+/// Servers in one piece of a list: 40 KB, which take 17 ms over a link of 20 Mbit/s.
+const PIECE_ROWS_MAX: usize = 1_024;
 
-/// Servers that are gone and remembered, so that older information does not
-/// bring them back.
-const GONE_MAX: NonZeroUsize = NonZeroUsize::new(512).unwrap();
+/// Most removed servers that are remembered, so that older information does not bring
+/// them back.
+const REMOVED_MAX: NonZeroUsize = NonZeroUsize::new(512).unwrap();
 
-/// The record of one process.
+/// The history of one process.
 pub struct History {
     life: u64,
     count: Cell<u64>,
     changes: RefCell<VecDeque<Change>>,
     servers: RefCell<BTreeMap<ids::Server, Row>>,
-    /// The newest revision of the store that anything here is from.
+    /// The newest revision of the store that anything here is based on.
     newest_revision: Cell<Revision>,
-    /// Revision of the store up to which all is known, if it is.
+    /// Revision of the store up to which all servers are known; the default if they are
+    /// not.
     complete_revision: Cell<Revision>,
-    /// Servers that are gone, each as of a revision.
-    gone: RefCell<LruCache<ids::Server, Revision>>,
-    /// Revision from which on all that are gone are remembered; `None`: none are.
-    gone_since: Cell<Option<Revision>>,
+    /// Removed servers that are remembered, each with the revision as of which it was
+    /// gone.
+    removed: RefCell<LruCache<ids::Server, Revision>>,
+    /// Revision since which all removed servers are remembered; `None` if none are.
+    removed_since: Cell<Option<Revision>>,
 }
 
-/// What the asker of a part has.
+/// What the sender of a request already has.
 #[derive(Debug, Clone, Default)]
 pub struct Cursor {
-    /// Where it stands in this record.
+    /// Its position in this history.
     pub position: Position,
-    /// The last server that it has of a list of all.
+    /// The last server that it got of a list of all servers.
     pub after: Option<ids::Server>,
-    /// Revision of the store up to which it knows all, if it does.
+    /// Revision of the store up to which it knows all servers; the default if it does
+    /// not.
     pub complete_revision: Revision,
 }
 
 impl Default for History {
     fn default() -> Self {
         Self {
-            // 0 is the place of a box that knows nothing.
+            // 0 is the position of a box that knows nothing.
             life: fastrand::u64(1..),
             count: Cell::new(0),
             changes: RefCell::default(),
             servers: RefCell::default(),
             newest_revision: Cell::default(),
             complete_revision: Cell::default(),
-            gone: RefCell::new(LruCache::new(GONE_MAX)),
-            gone_since: Cell::new(None),
+            removed: RefCell::new(LruCache::new(REMOVED_MAX)),
+            removed_since: Cell::new(None),
         }
     }
 }
 
 impl History {
-    /// The newest revision of the store that anything here is from.
+    /// The newest revision of the store that anything here is based on.
     pub fn newest_revision(&self) -> Revision {
         self.newest_revision.get()
     }
 
-    /// Records that all is known up to a revision of the store.
+    /// Records that information as of a revision of the store was received.
     pub fn observe(&self, revision: Revision) {
         self.newest_revision
             .set(self.newest_revision.get().max(revision));
     }
 
-    /// Revision of the store up to which all servers are known, if they are.
+    /// Revision of the store up to which all servers are known; the default if they are
+    /// not.
     pub fn complete_revision(&self) -> Revision {
         self.complete_revision.get()
     }
 
     /// Records that all servers are known up to a revision of the store.
     pub fn confirm(&self, revision: Revision) {
-        let since = self.gone_since.get();
-        // What goes in one era is not told as a change of another.
+        let since = self.removed_since.get();
+        // Removals of one era are not sent as changes of another.
         if since.is_none_or(|since| since.era() < revision.era()) {
-            self.gone_since.set(Some(revision));
+            self.removed_since.set(Some(revision));
         }
         self.complete_revision
             .set(self.complete_revision.get().max(revision));
         self.observe(revision);
     }
 
-    /// How many changes there were.
+    /// Number of changes so far.
     pub fn changes(&self) -> u64 {
         self.count.get()
     }
 
     /// Whether the known entry of a server is newer than a revision, so that
-    /// information as of it says nothing about the server.
-    pub fn is_newer(&self, id: &ids::Server, revision: Revision) -> bool {
+    /// information as of that revision does not apply to it.
+    pub fn knows_newer(&self, id: &ids::Server, revision: Revision) -> bool {
         let servers = self.servers.borrow();
         let known = servers.get(id);
         known.is_some_and(|known| known.revision() > revision)
     }
 
-    /// Whether an entry is older than the one that is known, or than the news
-    /// that its server is gone.
+    /// Whether an entry is older than the known one, or than the removal of its server.
     pub fn is_outdated(&self, row: &Row) -> bool {
-        if self.is_newer(row.id(), row.revision()) {
+        if self.knows_newer(row.id(), row.revision()) {
             return true;
         }
-        let gone = self.gone.borrow();
+        let gone = self.removed.borrow();
         gone.peek(row.id())
             .is_some_and(|gone| row.revision() <= *gone)
     }
 
-    /// Whether what is known stands against an entry: its server is gone since, or said
-    /// something else than the entry, which the store may have gone back to.
-    pub fn stands_against(&self, row: &Row, hold: Precedence) -> bool {
-        let gone = self.gone.borrow();
+    /// Whether the known state takes precedence over an entry, which may be a backup
+    /// entry: its server was removed later, or advertised something else.
+    pub fn takes_precedence_over(&self, row: &Row, hold: Precedence) -> bool {
+        let gone = self.removed.borrow();
         let gone = gone.peek(row.id()).copied();
         let servers = self.servers.borrow();
         let differs = servers
@@ -135,7 +140,7 @@
         known.any(|known| hold.keeps(known, row.revision()))
     }
 
-    /// Records that a server came or changed.
+    /// Records that a server joined or changed.
     pub fn upsert(&self, row: Row) {
         self.observe(row.revision());
         let known = self
@@ -148,31 +153,31 @@
         self.push(Change::Upserted(row));
     }
 
-    /// Takes over an entry that says the same of its server as the known one, but
-    /// for its revision and for how long the server is cold: nothing that others
-    /// have to be told of. Returns whether it does.
+    /// Updates the known entry of a server without recording a change, if the new one
+    /// differs only in its revision and in how long the server stays cold: other boxes
+    /// need not be notified of that. Returns whether that is so.
     pub fn refresh(&self, row: &Row) -> bool {
         let mut servers = self.servers.borrow_mut();
         let Some(known) = servers.get_mut(row.id()) else {
             return false;
         };
-        let repeats = known.clone().with_revision(row.revision()) == *row;
-        if repeats {
+        let is_same = known.clone().with_revision(row.revision()) == *row;
+        if is_same {
             *known = row.clone();
             self.observe(row.revision());
         }
-        repeats
+        is_same
     }
 
     /// Records that a server is gone as of a revision.
-    pub fn gone(&self, id: &ids::Server, revision: Revision) {
+    pub fn remove(&self, id: &ids::Server, revision: Revision) {
         self.observe(revision);
-        let forgotten = self.gone.borrow_mut().push(id.clone(), revision);
+        let forgotten = self.removed.borrow_mut().push(id.clone(), revision);
         if let Some((other, at)) = forgotten.filter(|(other, _)| other != id) {
             log::debug!(target: "belief", "event=gone_forgotten id={other}");
             let after = Revision::new(at.era(), at.number() + 1);
-            let since = self.gone_since.get().map(|since| since.max(after));
-            self.gone_since.set(since);
+            let since = self.removed_since.get().map(|since| since.max(after));
+            self.removed_since.set(since);
         }
         self.servers.borrow_mut().remove(id);
         self.push(Change::Removed(id.clone(), revision));
@@ -180,27 +185,28 @@
 
     fn push(&self, change: Change) {
         let mut changes = self.changes.borrow_mut();
-        let most = CHANGES_MAX.max(self.servers.borrow().len() / CHANGES_PART);
-        while changes.len() >= most {
+        let max_len = CHANGES_MAX.max(self.servers.borrow().len() / CHANGES_PART);
+        while changes.len() >= max_len {
             changes.pop_front();
         }
         changes.push_back(change);
         self.count.set(self.count.get() + 1);
     }
 
-    /// What a box at `place` lacks, or the next piece of it, and its position after
-    /// that. A box in the midst of a list keeps the position of its first piece.
-    pub fn part(&self, place: &Cursor) -> (Part, Position) {
+    /// The changes that a box at `cursor` lacks, or the next piece of the list of all
+    /// servers, and its position afterwards. While a box receives a list, it keeps the
+    /// position of the first piece.
+    pub fn part(&self, cursor: &Cursor) -> (Part, Position) {
         let now = Position {
             life: self.life,
             changes: self.count.get(),
         };
-        let known = place.position.life == self.life;
-        let (part, position) = if known && place.after.is_some() {
-            (self.piece(place.after.as_ref()), place.position)
-        } else if let Some(part) = known.then(|| self.changed(place.position)).flatten() {
+        let known = cursor.position.life == self.life;
+        let (part, position) = if known && cursor.after.is_some() {
+            (self.piece(cursor.after.as_ref()), cursor.position)
+        } else if let Some(part) = known.then(|| self.changed(cursor.position)).flatten() {
             (part, now)
-        } else if let Some(part) = self.changed_since(place.complete_revision) {
+        } else if let Some(part) = self.changed_since(cursor.complete_revision) {
             (part, now)
         } else {
             (self.piece(None), now)
@@ -208,7 +214,8 @@
         (part, position)
     }
 
-    /// What changed since a position, each server once; `None`: that is not kept.
+    /// The changes since a position, with the last one of each server; `None` if not
+    /// all of them are kept.
     fn changed(&self, position: Position) -> Option<Part> {
         let changes = self.changes.borrow();
         let missed = self.count.get().checked_sub(position.changes)?;
@@ -226,59 +233,61 @@
             Change::Upserted(_) => None,
             Change::Removed(id, revision) => Some((id.clone(), *revision)),
         });
-        Some(self.told(rows).with_gone(gone))
+        Some(self.part_with(rows).with_gone(gone))
     }
 
-    fn told(&self, rows: impl IntoIterator<Item = Row>) -> Part {
+    fn part_with(&self, rows: impl IntoIterator<Item = Row>) -> Part {
         Part::new(self.complete_revision.get(), rows)
     }
 
-    /// What changed since a revision of the store, for a box that knows all up to it;
-    /// `None`: that is not known here, as a revision of another era.
+    /// The changes since a revision of the store, for a box that knows all servers up
+    /// to it; `None` if they are not known here, for example because the revision is of
+    /// another era.
     fn changed_since(&self, revision: Revision) -> Option<Part> {
-        let since = self.gone_since.get()?;
+        let since = self.removed_since.get()?;
         let same_era = revision.era() == self.complete_revision.get().era();
         if revision.is_none() || !same_era || revision < since {
             return None;
         }
         let servers = self.servers.borrow();
         let rows = servers.values().filter(|row| row.revision() > revision);
-        let gone = self.gone.borrow();
-        // Entries that lapse are gone as of the revision that was known before.
+        let gone = self.removed.borrow();
+        // Entries that expired are gone as of the revision that was known before.
         let gone = gone.iter().filter(|(_, at)| **at >= revision);
         let gone = gone.map(|(id, at)| (id.clone(), *at));
-        Some(self.told(rows.cloned()).with_gone(gone))
+        Some(self.part_with(rows.cloned()).with_gone(gone))
     }
 
-    /// The piece of the list of all that follows a server.
+    /// The piece of the list of all servers that follows the server `after`.
     fn piece(&self, after: Option<&ids::Server>) -> Part {
         let servers = self.servers.borrow();
         let from = after.map_or(Bound::Unbounded, Bound::Excluded);
         let mut rest = servers.range::<ids::Server, _>((from, Bound::Unbounded));
         let rows: Vec<Row> = rest
             .by_ref()
-            .take(PART_ROWS)
+            .take(PIECE_ROWS_MAX)
             .map(|(_, row)| row.clone())
             .collect();
         let more = rest.next().is_some();
         let last = rows.last().map(|row| row.id().clone());
-        self.told(rows).as_piece(Piece {
+        self.part_with(rows).as_piece(Piece {
             first: after.is_none(),
             last: last.filter(|_| more),
         })
     }
 
-    /// What a box at `place` does not know, and the place after it.
-    pub fn since(&self, place: Position) -> (Servers, Position) {
+    /// The changes that a box at `position` lacks, or all servers, and the position
+    /// afterwards.
+    pub fn since(&self, position: Position) -> (Servers, Position) {
         let now = Position {
             life: self.life,
             changes: self.count.get(),
         };
         let changes = self.changes.borrow();
-        let missed = now.changes.checked_sub(place.changes);
-        let kept =
-            missed.filter(|missed| place.life == self.life && *missed <= changes.len() as u64);
-        let servers = match kept {
+        let missed = now.changes.checked_sub(position.changes);
+        let retained =
+            missed.filter(|missed| position.life == self.life && *missed <= changes.len() as u64);
+        let servers = match retained {
             Some(missed) => {
                 let skip = changes.len() - missed as usize;
                 Servers::Changes(changes.iter().skip(skip).cloned().collect())
--- a/crates/relay/src/signal.rs
+++ b/crates/relay/src/signal.rs
@@ -1,10 +1,10 @@
-//! What comes to the process from outside while it runs: the request to stop,
-//! and changed settings.
+//! Requests to the process from outside while it runs: to stop, and to reload changed
+//! settings.
 //!
-//! The settings may change with or without a signal, so the file's age and
-//! size are checked as well. A change is reported once; one that is missed
-//! because the file was written twice within a tick of its clock is found by
-//! its size or not at all, and the signal covers that case.
+//! The settings file may change with or without a signal, so its modification time and
+//! size are checked as well. Each change is reported once. If the file is written twice
+//! within one tick of the file system's clock, the second write is noticed only if the
+//! size differs; a signal covers that case.
 
 use std::fs;
 use std::io;
@@ -16,38 +16,38 @@
 use futures_lite::{FutureExt, StreamExt};
 use smol::Timer;
 
-/// Time between two checks of the settings file. Changes without a signal are
-/// rare; one `stat` in two seconds costs nothing.
-const LOOK: Duration = Duration::from_secs(2);
+/// Interval between two checks of the settings file. Changes without a signal are rare;
+/// one `stat` in two seconds costs nothing.
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What came from outside.
+/// What is requested of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Request {
     /// The process is to stop.
     Stop,
-    /// The settings file has changed, or is said to have.
+    /// The settings file changed, or a signal says so.
     Reload,
 }
 
-/// The changes that come to this process.
+/// The source of these requests: signals and the settings file.
 #[derive(Debug)]
 pub struct Requests {
     signals: Signals,
-    looks: Timer,
+    checks: Timer,
     file: PathBuf,
-    seen: Option<Mark>,
+    seen: Option<FileState>,
 }
 
 /// What distinguishes one state of a file from another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Mark {
+struct FileState {
     modified: Option<SystemTime>,
     bytes: u64,
     inode: u64,
 }
 
-impl Mark {
-    /// `None` when the file is not there, as while it is being replaced.
+impl FileState {
+    /// `None` if the file does not exist, for example while it is being replaced.
     fn of(file: &Path) -> Option<Self> {
         let found = fs::metadata(file).ok()?;
         Some(Self {
@@ -59,20 +59,20 @@
 }
 
 impl Requests {
-    /// Takes over the signals of the process and watches the settings file.
+    /// Installs handlers for the signals of the process and watches the settings file.
     ///
-    /// Wants to be called before the file is read, so that no change is lost
-    /// in between.
+    /// Has to be called before the file is first read, so that no change is missed in
+    /// between.
     ///
     /// # Errors
     ///
-    /// The signals cannot be taken over.
+    /// The signal handlers cannot be installed.
     pub fn watch(file: &Path) -> io::Result<Self> {
         Ok(Self {
             signals: Signals::new([Signal::Term, Signal::Int, Signal::Hup])?,
-            looks: Timer::interval(LOOK),
+            checks: Timer::interval(CHECK_INTERVAL),
             file: file.into(),
-            seen: Mark::of(file),
+            seen: FileState::of(file),
         })
     }
 
@@ -81,18 +81,18 @@
         &self.file
     }
 
-    /// Waits for the next change. Cancelling it loses nothing.
+    /// Waits for the next request. Cancelling it loses none.
     pub async fn next(&mut self) -> Request {
         loop {
             let signal = next_signal(&mut self.signals);
-            let look = async {
-                self.looks.next().await;
+            let check = async {
+                self.checks.next().await;
                 None
             };
-            let signal = signal.or(look).await;
+            let signal = signal.or(check).await;
             match signal {
                 Some(Signal::Hup) => {
-                    self.seen = Mark::of(&self.file);
+                    self.seen = FileState::of(&self.file);
                     return Request::Reload;
                 }
                 Some(_) => return Request::Stop,
@@ -104,10 +104,10 @@
 
     /// Whether the file differs from when it was last checked.
     fn has_changed(&mut self) -> bool {
-        let Some(mark) = Mark::of(&self.file) else {
+        let Some(state) = FileState::of(&self.file) else {
             return false;
         };
-        self.seen.replace(mark) != Some(mark)
+        self.seen.replace(state) != Some(state)
     }
 }
 
--- a/crates/relay/src/view.rs
+++ b/crates/relay/src/view.rs
@@ -1,12 +1,12 @@
-//! The operator's catalog as this box knows it, and how old that knowledge is.
+//! The operator's catalog as this box knows it, and the age of that knowledge.
 //!
 //! Invariants:
 //!
-//! * The version never falls within one life of the process, whatever order
-//!   answers of the store arrive in.
-//! * [`View::age`] is the time since a moment at which the catalog in force
-//!   here was provably the newest one. It is taken from the steady clock,
-//!   before the store was asked.
+//! * The version never decreases while the process runs, in whatever order answers of
+//!   the store arrive.
+//! * [`View::age`] is the time since a moment at which the catalog in force here was
+//!   confirmed to be the newest one. That moment is taken from the monotonic clock
+//!   before the request to the store is sent.
 
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 #[derive(Default)]
 pub struct View {
     catalog: RefCell<Option<Arc<Catalog>>>,
-    proven: Cell<Option<Instant>>,
+    confirmed_at: Cell<Option<Instant>>,
 }
 
 impl View {
@@ -37,8 +37,8 @@
             .unwrap_or_default()
     }
 
-    /// Puts a catalog in force if it is newer than the one in force; returns
-    /// whether it was.
+    /// Puts a catalog in force if it is newer than the one in force; returns whether it
+    /// was.
     pub fn adopt(&self, catalog: Catalog) -> bool {
         let known = self.catalog.borrow().is_some();
         if known && catalog.version <= self.version() {
@@ -50,26 +50,31 @@
 
     /// Records that the catalog in force was the newest one at `asked`.
     pub fn confirm_at(&self, asked: Instant) {
-        if self.proven.get().is_none_or(|earlier| earlier < asked) {
-            self.proven.set(Some(asked));
+        if self
+            .confirmed_at
+            .get()
+            .is_none_or(|earlier| earlier < asked)
+        {
+            self.confirmed_at.set(Some(asked));
         }
     }
 
-    /// How long ago the catalog in force was provably the newest one; `None`
-    /// when it never was.
+    /// Time since the catalog in force was last confirmed to be the newest one; `None`
+    /// if it never was.
     pub fn age(&self) -> Option<Duration> {
         self.age_at(Instant::now())
     }
 
     /// The same at `now`.
     pub fn age_at(&self, now: Instant) -> Option<Duration> {
-        self.proven
+        self.confirmed_at
             .get()
             .map(|at| now.saturating_duration_since(at))
     }
 
-    /// Whether the catalog in force was the newest one less than `most` ago.
-    pub fn is_fresh(&self, most: Duration) -> bool {
-        self.age().is_some_and(|age| age < most)
+    /// Whether the catalog in force was confirmed to be the newest one less than `max_age`
+    /// ago.
+    pub fn is_fresh(&self, max_age: Duration) -> bool {
+        self.age().is_some_and(|age| age < max_age)
     }
 }
--- a/crates/relay/tests/relay/entries.rs
+++ b/crates/relay/tests/relay/entries.rs
@@ -7,7 +7,7 @@
 use smol::Timer;
 use tidepier_clock::Instant;
 use tidepier_core::server::State;
-use tidepier_relay::follow::doubt::Doubt;
+use tidepier_relay::follow::availability::Availability;
 use tidepier_relay_standin::server::Server;
 use tidepier_relay_standin::site::Site;
 use tidepier_relay_standin::store::Down;
@@ -109,34 +109,34 @@
     let contact = CONTACT_TIME;
     let start = Instant::now();
     let at = |count| start + ms(count);
-    let doubt = Doubt::default();
-    assert!(doubt.is_over(at(0)));
-    assert!(doubt.lost(at(0)));
-    assert!(!doubt.lost(at(1_000)));
-    assert!(!doubt.is_over(at(60_000)));
+    let availability = Availability::default();
+    assert!(availability.is_authoritative(at(0)));
+    assert!(availability.record_failure(at(0)));
+    assert!(!availability.record_failure(at(1_000)));
+    assert!(!availability.is_authoritative(at(60_000)));
     // The store is back between 1.0 s and 1.3 s.
-    assert!(doubt.back(at(1_300), contact));
-    assert!(!doubt.back(at(1_400), contact));
-    assert!(!doubt.is_over(at(1_300) + RETURN_TIME));
-    assert!(doubt.is_over(at(1_000) + contact - ms(499)));
+    assert!(availability.record_recovery(at(1_300), contact));
+    assert!(!availability.record_recovery(at(1_400), contact));
+    assert!(!availability.is_authoritative(at(1_300) + RETURN_TIME));
+    assert!(availability.is_authoritative(at(1_000) + contact - ms(499)));
 }
 
 #[test]
 fn a_return_that_is_noticed_late_is_not_doubted_for_longer() {
     let start = Instant::now();
     let at = |count| start + ms(count);
-    let doubt = Doubt::default();
-    doubt.lost(at(0));
+    let availability = Availability::default();
+    availability.record_failure(at(0));
     // One failure is known before the other and comes after it.
-    doubt.lost(at(500));
-    doubt.lost(at(200));
-    doubt.back(at(2_300), CONTACT_TIME);
-    assert!(!doubt.is_over(at(2_900)));
-    assert!(doubt.is_over(at(3_001)));
+    availability.record_failure(at(500));
+    availability.record_failure(at(200));
+    availability.record_recovery(at(2_300), CONTACT_TIME);
+    assert!(!availability.is_authoritative(at(2_900)));
+    assert!(availability.is_authoritative(at(3_001)));
     // A box that asked others for a long time after its last failure.
-    doubt.lost(at(4_000));
-    doubt.back(at(60_000), CONTACT_TIME);
-    assert!(doubt.is_over(at(60_000)));
+    availability.record_failure(at(4_000));
+    availability.record_recovery(at(60_000), CONTACT_TIME);
+    assert!(availability.is_authoritative(at(60_000)));
 }
 
 #[test]
--- a/crates/relay/tests/relay/record.rs
+++ b/crates/relay/tests/relay/record.rs
@@ -31,7 +31,7 @@
         record.since(middle) == (nothing(), middle),
         "a change of nothing"
     );
-    record.gone(&"i-1".parse()?, Revision::of(7));
+    record.remove(&"i-1".parse()?, Revision::of(7));
     record.upsert(row_of("i-2", 8, State::Draining)?);
     let (since, end) = record.since(middle);
     let gone = Change::Removed("i-1".parse()?, Revision::of(7));
@@ -101,7 +101,7 @@
     let record = History::default();
     record.upsert(row("i-1", 5)?);
     let id: ids::Server = "i-1".parse()?;
-    record.gone(&id, Revision::of(9));
+    record.remove(&id, Revision::of(9));
     for (revision, outdated) in [(5, true), (8, true), (9, true), (10, false)] {
         let found = record.is_outdated(&row("i-1", revision)?);
         ensure!(found == outdated, "{revision}: {found}");
@@ -109,7 +109,7 @@
     ensure!(!record.is_outdated(&row("i-2", 1)?), "another server");
     // Remembered while many others go.
     for number in 0..500 {
-        record.gone(&format!("x-{number}").parse()?, Revision::of(20));
+        record.remove(&format!("x-{number}").parse()?, Revision::of(20));
     }
     ensure!(record.is_outdated(&row("i-1", 9)?), "forgotten");
     Ok(())
