--- a/crates/relay/tests/relay/beliefs.rs
+++ b/crates/relay/tests/relay/beliefs.rs
@@ -1,4 +1,4 @@
-//! What the router takes over from the store, and what it keeps when the store
+//! What the router applies of the store's entries, and what it keeps while the store
 //! fails.
 
 use std::time::{Duration, Instant};
@@ -18,11 +18,12 @@
     start_with_one_server, start_with_two_servers, wait_until, Executor, Harness, Result, SERVICE,
 };
 
-/// Promised time for a change of the catalog.
+/// Promised time for a change of the catalog to be in force.
 const APPLY_TIME: Duration = Duration::from_millis(2_000);
-/// How long after the store's return a missing server is kept.
+/// Grace period after the store's return, during which a server whose entry is missing
+/// is kept.
 const LAPSE_TIME: Duration = Duration::from_millis(2_200);
-/// Longest time between two questions to a store that is down.
+/// Longest time between two calls to a store that is down.
 const PAUSE_MAX: Duration = Duration::from_millis(900);
 
 fn config(site: &Site) -> Result<Value> {
@@ -32,7 +33,7 @@
     )?)
 }
 
-/// Waits until a route is served, for no longer than the promise.
+/// Waits until a route is served, for no longer than the promised time.
 async fn applied(house: &Harness, target: &str, since: Instant) -> Result {
     wait_until("applied", async || {
         Ok(house.post(target, "probe").await?.status == 200)
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn it_is_unready_without_a_configuration() -> Result {
+fn a_box_without_a_configuration_is_not_ready() -> Result {
     run(async |executor| {
         let site = Site::start()?;
         let server = site.server(server_settings(1))?;
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn the_version_never_falls() -> Result {
+fn the_version_never_decreases() -> Result {
     run(async |executor| {
         let (server, house) = start_with_one_server(executor).await?;
         let older = config(&house.site)?;
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn a_change_is_in_force_in_time_though_watches_are_cut() -> Result {
+fn changes_apply_in_time_while_watches_are_cut() -> Result {
     run(async |executor| {
         let (_server, house) = start_with_one_server(executor).await?;
         for number in 0..3 {
@@ -137,7 +138,7 @@
 }
 
 #[test]
-fn a_change_is_in_force_in_time_though_watches_learn_nothing() -> Result {
+fn changes_apply_in_time_while_watches_deliver_nothing() -> Result {
     run(async |executor| {
         let (_server, house) = start_with_one_server(executor).await?;
         house.site.store.deaf(Duration::from_secs(20));
@@ -150,7 +151,7 @@
 }
 
 #[test]
-fn a_change_is_in_force_though_answers_are_lost() -> Result {
+fn changes_apply_while_answers_to_writes_are_lost() -> Result {
     run(async |executor| {
         let (server, house) = start_with_one_server(executor).await?;
         house.site.store.faults(|faults| faults.lost = u32::MAX);
@@ -164,8 +165,8 @@
             house.site.store.faults(|faults| left = faults.lost);
             Ok(left < u32::MAX)
         };
-        wait_until("lost one", lost).await?;
-        // Answers to writes go on being lost; the store is read instead.
+        wait_until("an answer lost", lost).await?;
+        // Answers to writes are still lost; the store is read instead.
         wait_until("fresh", async || {
             Ok(house.router.relay().view.is_fresh(ms(1_900)))
         })
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn calls_refused_for_their_number_harm_no_request() -> Result {
+fn a_store_that_refuses_calls_harms_no_request() -> Result {
     run(async |executor| {
         let (server, house) = start_with_one_server(executor).await?;
         house.site.store.faults(|faults| faults.refuse = true);
@@ -190,8 +191,8 @@
         let calls = house.site.store.all_calls().values().sum::<u64>() - before;
         ensure!(calls <= 30, "{calls} calls to a store that refuses them");
         house.site.store.faults(|faults| faults.refuse = false);
-        // Its absence while the store was away counts, but once it is back a
-        // change is in force again.
+        // Entries missing while the store was away do not count as deleted, but once it
+        // is back a change is in force again.
         let far = house.site.server(server_settings(2))?;
         house
             .site
@@ -210,7 +211,7 @@
 }
 
 #[test]
-fn a_server_that_leaves_in_a_forgotten_history_is_dropped() -> Result {
+fn a_server_removed_within_compacted_changes_is_dropped() -> Result {
     run(async |executor| {
         let (gone, stays, house) = start_with_two_servers(executor).await?;
         house.site.store.deaf(ms(300));
@@ -229,13 +230,16 @@
             let answer = house.post("/r/x", &attempt).await?;
             ensure_served_by(&answer, &[&stays, &comes], &attempt)?;
         }
-        ensure!(gone.runs().len() == before, "asked after it left");
+        ensure!(
+            gone.runs().len() == before,
+            "requests were sent after it left"
+        );
         Ok(())
     })
 }
 
 #[test]
-fn the_catalog_of_a_forgotten_history_is_read_again() -> Result {
+fn a_catalog_within_compacted_changes_is_read_again() -> Result {
     run(async |executor| {
         let (_server, house) = start_with_one_server(executor).await?;
         house.site.store.deaf(ms(200));
@@ -248,15 +252,15 @@
     })
 }
 
-/// A router whose store goes down, is known to be down, and comes back while
-/// `lost` has lost its entry; returns when the store came back.
+/// Starts a router whose store becomes unreachable, is found to be, and comes back
+/// without the entries of `lost`; returns the time at which the store came back.
 async fn outage(executor: Executor, site: Site, lost: &[&Server]) -> Result<(Harness, Instant)> {
     let house = Harness::start_ready(executor, site).await?;
     house
         .site
         .store
         .faults(|faults| faults.down = Some(Down::Reset));
-    // Some questions have been asked in vain after this time.
+    // By then, some calls have failed.
     let asked = house.site.store.calls("kv-txn");
     wait_until("noticed", async || {
         Ok(house.site.store.calls("kv-txn") >= asked + 2)
@@ -271,7 +275,7 @@
 }
 
 #[test]
-fn a_server_whose_entry_lapsed_with_the_store_is_kept_for_a_while() -> Result {
+fn a_server_whose_entry_expired_in_an_outage_is_kept_for_the_grace_period() -> Result {
     run(async |executor| {
         let site = site()?;
         let lost = site.server(server_settings(1))?;
@@ -294,7 +298,7 @@
 }
 
 #[test]
-fn a_server_whose_entry_comes_back_after_the_store_is_kept() -> Result {
+fn a_server_whose_entry_returns_after_an_outage_is_kept() -> Result {
     run(async |executor| {
         let site = site()?;
         let lost = site.server(server_settings(1))?;
@@ -314,17 +318,17 @@
 }
 
 #[test]
-fn a_server_that_leaves_after_the_return_is_dropped_at_once() -> Result {
+fn a_server_removed_after_the_grace_period_is_dropped_at_once() -> Result {
     run(async |executor| {
         let site = site()?;
         let gone = site.server(server_settings(1))?;
         let stays = site.server(server_settings(2))?;
         let (house, back) = outage(executor, site, &[]).await?;
-        wait_until("believed", async || {
+        wait_until("confirmed", async || {
             Ok(house.router.relay().view.is_fresh(ms(1_000)))
         })
         .await?;
-        // The time of doubt has passed, and the next one has not begun.
+        // The grace period is over, and no other has begun.
         Timer::at(back + PAUSE_MAX + ms(2_500)).await;
         house.site.withdraw(&gone);
         let left = Instant::now();
@@ -332,13 +336,16 @@
         ensure!(left.elapsed() < ms(1_200), "{:?}", left.elapsed());
         let before = gone.runs().len();
         ensure_served_by(&house.post("/r/x", "after").await?, &[&stays], "after")?;
-        ensure!(gone.runs().len() == before, "asked after it left");
+        ensure!(
+            gone.runs().len() == before,
+            "requests were sent after it left"
+        );
         Ok(())
     })
 }
 
 #[test]
-fn a_server_that_leaves_within_the_doubt_is_dropped_at_its_end() -> Result {
+fn a_server_removed_within_the_grace_period_is_dropped_at_its_end() -> Result {
     run(async |executor| {
         let site = site()?;
         let gone = site.server(server_settings(1))?;
@@ -354,7 +361,7 @@
 }
 
 #[test]
-fn requests_are_served_while_the_store_is_silent() -> Result {
+fn requests_are_served_while_the_store_is_unresponsive() -> Result {
     run(async |executor| {
         let (server, house) = start_with_one_server(executor).await?;
         house
@@ -373,7 +380,7 @@
 }
 
 #[test]
-fn a_server_that_is_another_services_now_gets_nothing_of_the_first() -> Result {
+fn a_server_that_changed_its_service_gets_no_requests_of_the_old_one() -> Result {
     run(async |executor| {
         let site = site()?;
         let before = site.server(server_settings(1))?;
@@ -402,8 +409,9 @@
     })
 }
 
-/// Checks that a server whose entry goes is dropped in time, beside changes of another.
-async fn goes_in_time(house: &Harness, goes: &Server, changes: &Server) -> Result {
+/// Checks that a server whose entry is deleted is dropped in time, while the entry of
+/// another one changes.
+async fn check_removed_in_time(house: &Harness, goes: &Server, changes: &Server) -> Result {
     house.site.withdraw(goes);
     let gone = Instant::now();
     wait_until("gone", async || {
@@ -416,30 +424,31 @@
     Ok(())
 }
 
-/// Seen: boxes sent to servers for 3.6 s after their entries were gone. Their questions
-/// whether the configuration is the newest got no answer in time beside the configuration
-/// itself, 437 KB each second, so that the store counted as lost; their watches went on
-/// telling at once which entries had gone, and were not believed. Proved by the logs:
-/// `Missing` 0.4 s after each change, `store_lost` 0.7 s before the first of them.
+/// Guards against boxes sending requests to servers for 3.6 s after their entries were
+/// deleted. Their freshness checks got no answer in time, as the configuration itself,
+/// 437 KB each second, delayed them, so that the store counted as unreachable. Their
+/// watches still reported at once which entries had been deleted, but that was not
+/// acted upon. The logs showed it: `Missing` 0.4 s after each change, `store_lost` 0.7
+/// s before the first of them.
 #[test]
-fn a_store_whose_watches_answer_is_not_lost() -> Result {
+fn a_store_that_answers_watches_counts_as_reachable() -> Result {
     run(async |executor| {
         let (near, far, house) = start_with_two_servers(executor).await?;
         house.post("/r/x", "before").await?;
         house.site.store.faults(|faults| faults.mute = true);
-        // A change every 0.2 s, as while servers come and go.
+        // A change every 0.2 s, as while servers join and leave.
         for _ in 0..20 {
             house.site.announce(&far, State::Ready);
             Timer::after(ms(200)).await;
         }
-        goes_in_time(&house, &near, &far).await
+        check_removed_in_time(&house, &near, &far).await
     })
 }
 
-/// The same where calls got no answer before a watch had one: the watch that answers
-/// then is the store's return.
+/// The same where calls got no answer before a watch had one: once a watch is answered,
+/// the store counts as reachable again.
 #[test]
-fn a_watch_that_answers_is_the_stores_return() -> Result {
+fn an_answered_watch_makes_the_store_reachable_again() -> Result {
     run(async |executor| {
         let (near, far, house) = start_with_two_servers(executor).await?;
         house.post("/r/x", "before").await?;
@@ -449,6 +458,6 @@
             house.site.announce(&far, State::Ready);
             Timer::after(ms(200)).await;
         }
-        goes_in_time(&house, &near, &far).await
+        check_removed_in_time(&house, &near, &far).await
     })
 }
--- a/crates/relay/tests/relay/box_harness.rs
+++ b/crates/relay/tests/relay/box_harness.rs
@@ -1,4 +1,5 @@
-//! Several boxes at one store, and what a test may do to each of them.
+//! Harness of several boxes at one store, and the faults that a test may inject into
+//! each.
 
 use std::cell::{Cell, RefCell};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -27,29 +28,29 @@
 use crate::harness::{self, ms, post, wait_until, Executor, Result, SERVICE};
 use crate::process;
 
-/// The bound on keys in these tests: as short as lets a box notice a lost
-/// reader and take over, on a machine that has other work.
+/// The bound on keys in these tests: as short as it can be so that a box still notices
+/// in time that its reader is lost and takes over, on a machine with other load.
 pub(crate) const REVOKE_TIME: Duration = Duration::from_millis(3_200);
 /// The bound on changes.
 pub(crate) const APPLY_TIME: Duration = Duration::from_millis(2_000);
 /// The bound on servers that leave.
 pub(crate) const LEAVE_TIME: Duration = Duration::from_millis(2_000);
-/// Longest time until boxes have agreed on a reader: some questions, each
-/// failure of which costs 3 s.
+/// Longest time until boxes agree on a reader: a few requests, each failure of which
+/// costs 3 s.
 const SETTLE_TIME: Duration = Duration::from_millis(8_000);
-/// More than the time between two proofs that a reader asks for.
+/// More than the time between two freshness checks of a reader.
 pub(crate) const PROOF_TIME: Duration = Duration::from_millis(850);
-/// Where all boxes listen for each other, each on an address of its own. Not a
-/// port that the system gives out.
+/// Port at which all boxes listen for each other, each on an address of its own. Not
+/// among the ports that the system assigns.
 const PEER_PORT: u16 = 20_701;
-/// Where a box that is a process listens for clients.
+/// Port at which a box that is a separate process listens for clients.
 pub(crate) const FRONT_PORT: u16 = 20_702;
-/// The port that settings name for other boxes; nobody listens there.
+/// The port that settings name for other boxes; nothing listens there.
 const SEED_PORT: u16 = 20_703;
-/// Where boxes are registered in the store.
+/// Key prefix of the entries of boxes in the store.
 pub(crate) const BOXES: &str = "tidepier/boxes/";
 
-/// An address of this machine that no other box has.
+/// An address of this machine that no other box uses.
 pub(crate) fn address() -> SocketAddr {
     static TAKEN: AtomicU32 = AtomicU32::new(1);
     let number = TAKEN.fetch_add(1, Ordering::Relaxed);
@@ -59,17 +60,18 @@
     SocketAddr::from((ip, PEER_PORT))
 }
 
-/// How a way treats what goes over it.
+/// What a proxy does with the bytes that it receives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Mode {
     Open,
     /// Connections are closed.
     Cut,
-    /// Nothing arrives.
+    /// Nothing is forwarded.
     Silent,
 }
 
-/// A way to an address that a test can cut; it ends when dropped.
+/// A proxy in front of an address, into which a test may inject faults; it ends when
+/// dropped.
 pub(crate) struct Proxy {
     address: SocketAddr,
     state: Rc<State>,
@@ -79,12 +81,12 @@
 struct State {
     target: SocketAddr,
     mode: Cell<Mode>,
-    /// Time that each piece of an answer takes.
+    /// Delay of each piece of an answer.
     delay: Cell<Duration>,
-    /// Bytes that were asked over it.
+    /// Bytes of requests that were forwarded.
     asked: Cell<u64>,
     changed: Notifier,
-    pumps: RefCell<Vec<Task<()>>>,
+    forwarders: RefCell<Vec<Task<()>>>,
 }
 
 impl Proxy {
@@ -96,15 +98,15 @@
             delay: Cell::default(),
             asked: Cell::default(),
             changed: Notifier::default(),
-            pumps: RefCell::default(),
+            forwarders: RefCell::default(),
         });
         let address = listener.local_addr()?;
         let (tasks, shared) = (executor.clone(), state.clone());
         let task = executor.spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 if shared.mode.get() != Mode::Cut {
-                    let pump = tasks.spawn(shared.clone().carry(stream));
-                    shared.pumps.borrow_mut().push(pump);
+                    let forwarder = tasks.spawn(shared.clone().forward(stream));
+                    shared.forwarders.borrow_mut().push(forwarder);
                 }
             }
         });
@@ -119,18 +121,18 @@
         self.address
     }
 
-    /// Closes all connections over it and those to come.
+    /// Closes all its connections, and any new ones.
     pub(crate) fn cut(&self) {
         self.set(Mode::Cut);
-        self.state.pumps.borrow_mut().clear();
+        self.state.forwarders.borrow_mut().clear();
     }
 
-    /// Lets nothing through, and closes nothing.
+    /// Forwards nothing, and closes nothing.
     pub(crate) fn silence(&self) {
         self.set(Mode::Silent);
     }
 
-    /// Lets all through again.
+    /// Forwards everything again.
     pub(crate) fn mend(&self) {
         self.set(Mode::Open);
     }
@@ -139,7 +141,7 @@
         self.state.delay.set(time);
     }
 
-    /// Bytes that were asked over it so far.
+    /// Bytes of requests that were forwarded so far.
     pub(crate) fn asked(&self) -> u64 {
         self.state.asked.get()
     }
@@ -151,17 +153,17 @@
 }
 
 impl State {
-    async fn carry(self: Rc<Self>, near: TcpStream) {
+    async fn forward(self: Rc<Self>, near: TcpStream) {
         let Ok(far) = TcpStream::connect(self.target).await else {
             return;
         };
-        let there = self.pump(near.clone(), far.clone(), true);
-        let back = self.pump(far, near, false);
+        let there = self.copy_bytes(near.clone(), far.clone(), true);
+        let back = self.copy_bytes(far, near, false);
         future::or(there, back).await;
     }
 
-    /// Passes bytes on until a side closes.
-    async fn pump(&self, mut from: TcpStream, mut to: TcpStream, asks: bool) {
+    /// Forwards bytes until one side closes.
+    async fn copy_bytes(&self, mut from: TcpStream, mut to: TcpStream, asks: bool) {
         let mut bytes = vec![0; 64 << 10];
         while let Ok(count @ 1..) = from.read(&mut bytes).await {
             while self.mode.get() == Mode::Silent {
@@ -179,7 +181,7 @@
     }
 }
 
-/// A site with a route for keys beside the usual ones, and two accounts.
+/// A site with a route that requires keys beside the usual ones, and two accounts.
 pub(crate) fn site_with_keys() -> Result<Site> {
     let site = harness::site()?;
     let keyed = Route {
@@ -192,7 +194,7 @@
     Ok(site)
 }
 
-/// Registers a box at an address of a test's choice, before all others.
+/// Registers a box at an address of the test's choice; it ranks before all others.
 pub(crate) fn register(site: &Site, name: &str, hall: &str, address: SocketAddr) -> Result<Member> {
     let member = Member {
         name: name.parse()?,
@@ -205,19 +207,19 @@
     Ok(member)
 }
 
-/// The settings of a box that talks to others.
+/// The settings of a box with peers.
 pub(crate) fn settings(site: &Site, name: &str, hall: &str, link: u32, peer: SocketAddr) -> Value {
-    let mut told = harness::settings(site);
-    told["name"] = name.into();
-    told["hall"] = hall.into();
-    told["callers"] = SocketAddr::new(peer.ip(), 0).to_string().into();
-    told["peer_ports"] = vec![peer.port(); 2].into();
-    told["limits"]["link_mbps"] = link.into();
-    let bounds = &mut told["bounds"];
+    let mut values = harness::settings(site);
+    values["name"] = name.into();
+    values["hall"] = hall.into();
+    values["callers"] = SocketAddr::new(peer.ip(), 0).to_string().into();
+    values["peer_ports"] = vec![peer.port(); 2].into();
+    values["limits"]["link_mbps"] = link.into();
+    let bounds = &mut values["bounds"];
     bounds["revoke_within"] = (REVOKE_TIME.as_millis() as u64).into();
     bounds["apply_within"] = (APPLY_TIME.as_millis() as u64).into();
     bounds["leave_within"] = (LEAVE_TIME.as_millis() as u64).into();
-    told
+    values
 }
 
 /// A call with a key.
@@ -225,14 +227,14 @@
     post("/k/x", attempt).key(key)
 }
 
-/// A box that runs on an executor of its own.
+/// A box that runs on its own executor in the test's process.
 pub(crate) struct TestBox {
     pub(crate) name: String,
     settings: Value,
     pub(crate) router: Router,
-    /// Its way to the store.
+    /// The proxy in front of its store.
     pub(crate) store: Proxy,
-    /// Where other boxes ask it.
+    /// Where other boxes send it requests.
     pub(crate) peer: SocketAddr,
     frozen: Rc<Cell<bool>>,
     changed: Notifier,
@@ -246,7 +248,7 @@
 }
 
 impl TestBox {
-    /// Starts a box of a hall; the strongest link reads the store.
+    /// Starts a box of a hall; the box with the strongest link becomes the reader.
     pub(crate) async fn start(
         executor: &Executor,
         site: &Site,
@@ -257,8 +259,7 @@
         Self::seeded(executor, site, name, hall, link, &[]).await
     }
 
-    /// The same with boxes named in its settings, at ports that nobody listens
-    /// at.
+    /// The same with seed boxes in its settings, at ports where nothing listens.
     pub(crate) async fn seeded(
         executor: &Executor,
         site: &Site,
@@ -269,11 +270,11 @@
     ) -> Result<Self> {
         let peer = address();
         let store = Proxy::open(executor, site.store.address()).await?;
-        let mut told = settings(site, name, hall, link, peer);
-        told["store"]["address"] = store.address().to_string().into();
+        let mut values = settings(site, name, hall, link, peer);
+        values["store"]["address"] = store.address().to_string().into();
         let seeds = seeds.iter().map(|ip| SocketAddr::new(*ip, SEED_PORT));
-        told["seeds"] = seeds.map(|seed| seed.to_string()).collect();
-        let settings: Settings = serde_json::from_value(told.clone())?;
+        values["seeds"] = seeds.map(|seed| seed.to_string()).collect();
+        let settings: Settings = serde_json::from_value(values.clone())?;
         settings.check()?;
         let own = Rc::new(LocalExecutor::new());
         let router = Router::start(&settings, &own)?;
@@ -288,7 +289,7 @@
         });
         Ok(Self {
             name: name.into(),
-            settings: told,
+            settings: values,
             router,
             store,
             peer,
@@ -298,17 +299,17 @@
         })
     }
 
-    /// Runs none of its tasks until it is thawed.
+    /// Pauses or resumes all its tasks.
     pub(crate) fn freeze(&self, frozen: bool) {
         self.frozen.set(frozen);
         self.changed.notify();
     }
 
-    /// Lets a content pass, as a reload of its settings would.
+    /// Pardons a content, as a reload of its settings would.
     pub(crate) fn pardon(&self, content: Fingerprint) -> Result {
-        let mut told = self.settings.clone();
-        told["pardoned"] = vec![content.to_string()].into();
-        self.router.apply_settings(&serde_json::from_value(told)?);
+        let mut values = self.settings.clone();
+        values["pardoned"] = vec![content.to_string()].into();
+        self.router.apply_settings(&serde_json::from_value(values)?);
         Ok(())
     }
 
@@ -316,7 +317,7 @@
         Ok(Client::once(self.router.client_address(), call).await?)
     }
 
-    /// When the catalog in force there was provably the newest.
+    /// When the catalog in force there was last confirmed current.
     pub(crate) fn proven(&self) -> Option<Instant> {
         let now = Instant::now();
         now.checked_sub(self.router.relay().view.age_at(now)?)
@@ -326,7 +327,7 @@
         self.router.relay().is_ready()
     }
 
-    /// Whether it knows a server, be it one that leaves.
+    /// Whether it knows a server, including one that is leaving.
     pub(crate) fn knows(&self, server: &Server) -> bool {
         harness::knows(&self.router, server)
     }
@@ -339,51 +340,54 @@
     }
 }
 
-/// Boxes of `hall-1` that started together and are ready, the first one of
-/// which reads the store for all.
+/// Starts boxes of `hall-1` and waits until they are ready and the first one is their
+/// reader.
 pub(crate) async fn started(executor: &Executor, site: &Site, count: u32) -> Result<Vec<TestBox>> {
-    let machines = start_boxes(executor, site, count).await?;
-    settled(&machines, &[0]).await?;
-    Ok(machines)
+    let test_boxes = start_boxes(executor, site, count).await?;
+    settled(&test_boxes, &[0]).await?;
+    Ok(test_boxes)
 }
 
-/// Boxes of `hall-1` that started together and are ready.
+/// Starts boxes of `hall-1` and waits until they are ready.
 pub(crate) async fn start_boxes(
     executor: &Executor,
     site: &Site,
     count: u32,
 ) -> Result<Vec<TestBox>> {
-    let mut machines = Vec::new();
+    let mut test_boxes = Vec::new();
     for number in 0..count {
         let (name, link) = (format!("box-{number}"), 5_000 - 1_000 * number);
-        machines.push(TestBox::start(executor, site, &name, "hall-1", link).await?);
+        test_boxes.push(TestBox::start(executor, site, &name, "hall-1", link).await?);
     }
-    ready(&machines).await?;
-    Ok(machines)
+    ready(&test_boxes).await?;
+    Ok(test_boxes)
 }
 
-pub(crate) async fn ready(machines: &[TestBox]) -> Result {
-    wait_until("ready", async || Ok(machines.iter().all(TestBox::is_ready))).await
+pub(crate) async fn ready(test_boxes: &[TestBox]) -> Result {
+    wait_until("ready", async || {
+        Ok(test_boxes.iter().all(TestBox::is_ready))
+    })
+    .await
 }
 
-/// The boxes that ask the store for anything within a time.
-pub(crate) async fn readers(machines: &[TestBox], time: Duration) -> Vec<usize> {
-    let before: Vec<u64> = machines
+/// The boxes that send any request to the store within `time`.
+pub(crate) async fn readers(test_boxes: &[TestBox], time: Duration) -> Vec<usize> {
+    let before: Vec<u64> = test_boxes
         .iter()
-        .map(|machine| machine.store.asked())
+        .map(|test_box| test_box.store.asked())
         .collect();
     Timer::after(time).await;
-    let asked = machines.iter().zip(before).enumerate();
-    let asked = asked.filter(|(_, (machine, before))| machine.store.asked() > *before);
+    let asked = test_boxes.iter().zip(before).enumerate();
+    let asked = asked.filter(|(_, (test_box, before))| test_box.store.asked() > *before);
     asked.map(|(at, _)| at).collect()
 }
 
-/// Waits until only these of the boxes ask the store; a box that asked another
-/// before that one could vouch passes it over for 3 s.
-pub(crate) async fn settled(machines: &[TestBox], expected: &[usize]) -> Result {
+/// Waits until exactly these boxes send requests to the store. A box that requested
+/// from another one before that had a confirmed view skips it for 3 s.
+pub(crate) async fn settled(test_boxes: &[TestBox], expected: &[usize]) -> Result {
     let start = Instant::now();
     loop {
-        let found = readers(machines, PROOF_TIME).await;
+        let found = readers(test_boxes, PROOF_TIME).await;
         if found == expected {
             return Ok(());
         }
@@ -393,15 +397,15 @@
 
 /// Checks for a while that boxes serve requests with a key.
 pub(crate) async fn served<'a>(
-    machines: impl IntoIterator<Item = &'a TestBox> + Clone,
+    test_boxes: impl IntoIterator<Item = &'a TestBox> + Clone,
     servers: &[&Server],
     time: Duration,
 ) -> Result {
     let start = Instant::now();
     while start.elapsed() < time {
-        for machine in machines.clone() {
-            let attempt = format!("{}-{:?}", machine.name, start.elapsed());
-            let answer = machine.call(&with_key("stays", &attempt)).await?;
+        for test_box in test_boxes.clone() {
+            let attempt = format!("{}-{:?}", test_box.name, start.elapsed());
+            let answer = test_box.call(&with_key("stays", &attempt)).await?;
             harness::ensure_served_by(&answer, servers, &attempt)?;
         }
         Timer::after(ms(30)).await;
@@ -409,7 +413,7 @@
     Ok(())
 }
 
-/// A box that is a process of its own.
+/// A box that runs as a separate process.
 pub(crate) struct Process(process::Process);
 
 impl Process {
@@ -420,7 +424,7 @@
         Ok(Self(process::Process::start(&name, "error", &settings)?))
     }
 
-    /// Ends it at once, without a chance to do anything about that.
+    /// Kills it, so that it cannot shut down gracefully.
     pub(crate) fn kill(&mut self) -> Result {
         self.0.kill()
     }
--- a/crates/relay/tests/relay/choice_harness.rs
+++ b/crates/relay/tests/relay/choice_harness.rs
@@ -1,5 +1,5 @@
-//! What one box knows of a fleet that exists in its memory alone, and what it
-//! decides from that.
+//! Harness for the choice of servers: one box's view of a fleet that exists only in
+//! memory, and the choices that the box makes from it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,10 +18,10 @@
 
 use crate::harness::{Result, SERVICE};
 
-/// Tokens of a subject that is kept once for all halls.
+/// Size in tokens of a subject that is cached once for all halls.
 pub(crate) const LARGE: u32 = 3_000;
 
-/// Tokens of a subject that is kept in each hall.
+/// Size in tokens of a subject that is cached in each hall.
 pub(crate) const SMALL: u32 = 900;
 
 /// Connections that a box may open to one server.
@@ -35,7 +35,7 @@
     SocketAddr::from(([127, 0, 0, 1], 1_000 + number))
 }
 
-/// Server `number`; two halls by turns.
+/// Server `number`; odd and even numbers are in different halls.
 pub(crate) fn server(number: u16, state: State) -> Result<Server> {
     Ok(Server {
         id: id(&format!("i-{number}"))?,
@@ -50,19 +50,19 @@
     })
 }
 
-/// One box with what it knows.
+/// One box with its view of the fleet.
 pub(crate) struct ChoiceHarness {
     pub(crate) fleet: Fleet,
     pub(crate) index: Index,
     pub(crate) hall: ids::Hall,
     pub(crate) service: ids::Service,
-    /// When it heard of its first servers.
+    /// When it learned of its first servers.
     pub(crate) start: Instant,
 }
 
 impl ChoiceHarness {
-    /// A box in a hall that heard of these servers in this order, and of next to
-    /// none of the placements of others.
+    /// A box in a hall that learned of these servers in this order, and received next
+    /// to no reports of placements by other boxes.
     pub(crate) fn new(hall: &str, numbers: impl IntoIterator<Item = u16>) -> Result<Self> {
         let desk = Self {
             fleet: Fleet::default(),
@@ -79,7 +79,7 @@
         Ok(desk)
     }
 
-    /// Lets a server join `after` the box heard of its first ones.
+    /// Lets a server join `after` the box learned of its first ones.
     pub(crate) fn join(&self, number: u16, after: Duration) -> Result {
         let joined = server(number, State::Ready)?;
         self.fleet.announce(joined, self.start + after);
@@ -90,7 +90,7 @@
         self.places_after(prompt, &[])
     }
 
-    /// The same after the prompt was sent to some servers in vain.
+    /// The same after attempts at the servers `tried` failed.
     pub(crate) fn places_after<'a>(
         &self,
         prompt: &'a Prompt,
@@ -108,14 +108,14 @@
         )
     }
 
-    /// The address from which a server is to copy a prompt.
+    /// The address from which a server is to copy a prompt's cached parts.
     pub(crate) fn source(&self, prompt: &Prompt, server: &ids::Server) -> Option<SocketAddr> {
         let places = self.places(prompt);
         let source = places.copy_source(Key::new(server));
         source.map(|source| source.server.address)
     }
 
-    /// The server that comes first for a prompt.
+    /// The server that ranks first for a prompt.
     pub(crate) fn first(&self, prompt: &Prompt) -> Result<ids::Server> {
         self.ranked(prompt, 0)
     }
@@ -177,21 +177,21 @@
         chosen.ok_or_else(|| eyre!("no server chosen"))
     }
 
-    /// Chooses a server and remembers that it got the prompt.
+    /// Chooses a server and records that the prompt was sent to it.
     pub(crate) fn send(&self, prompt: &Prompt) -> Result<Rc<Backend>> {
         let chosen = self.choose(Some(prompt), &[])?.backend;
         self.index.record_local(prompt, chosen.key, Instant::now());
         Ok(chosen)
     }
 
-    /// Lets a server have so many requests of this box.
+    /// Gives a server this many in-flight requests of this box.
     pub(crate) fn load(&self, id: &ids::Server, count: usize) -> Result<Vec<InFlight>> {
         let backend = self.backend(id)?;
         Ok((0..count).map(|_| backend.run(0)).collect())
     }
 }
 
-/// A prompt about a subject, with a question of its own.
+/// A prompt with a subject, and a question of its own.
 pub(crate) fn prompt(subject: u64, tokens: u32) -> Prompt {
     let own = Part {
         id: 1_000_000 + subject,
--- a/crates/relay/tests/relay/entries.rs
+++ b/crates/relay/tests/relay/entries.rs
@@ -1,5 +1,5 @@
-//! Servers' entries in the store: what a change of one does, and for how long
-//! its absence says nothing after trouble of the store.
+//! Entries of servers in the store: the effect of a change, and the grace period after
+//! an outage of the store, during which a missing entry does not count as deleted.
 
 use std::time::Duration;
 
@@ -19,12 +19,12 @@
     Harness, Result,
 };
 
-/// Time from the end of the store's trouble from which its word counts; the
+/// Time after the end of an outage from which a missing entry counts as deleted; the
 /// default of the settings.
 const CONTACT_TIME: Duration = Duration::from_millis(3_000);
-/// Time in which servers that live are back in the store.
+/// Time in which running servers have written their entries again.
 const RETURN_TIME: Duration = Duration::from_millis(2_000);
-/// How late a test may notice what happened.
+/// How late a test may notice an event.
 const NOTICE_TIME: Duration = Duration::from_millis(150);
 
 /// All calls to the store so far.
@@ -32,48 +32,48 @@
     site.store.all_calls().values().sum()
 }
 
-fn silence(site: &Site) {
+fn make_unresponsive(site: &Site) {
     site.store.faults(|faults| faults.down = Some(Down::Silent));
 }
 
-/// Ends a silence right after a call was swallowed: the latest moment for the
-/// caller to notice.
-async fn return_unnoticed(site: &Site) -> Result<Instant> {
+/// Ends an outage right after a call was lost: this is when the caller notices the
+/// return as late as possible.
+async fn end_outage_unnoticed(site: &Site) -> Result<Instant> {
     let before = calls(site);
     let start = Instant::now();
     while calls(site) == before {
-        ensure!(start.elapsed() < ms(5_000), "nobody calls the store");
+        ensure!(start.elapsed() < ms(5_000), "no calls to the store");
         Timer::after(ms(1)).await;
     }
     site.store.faults(|faults| faults.down = None);
     Ok(Instant::now())
 }
 
-async fn dropped(machine: &TestBox, server: &Server) -> Result {
-    wait_until("dropped", async || Ok(!machine.knows(server))).await
+async fn dropped(test_box: &TestBox, server: &Server) -> Result {
+    wait_until("dropped", async || Ok(!test_box.knows(server))).await
 }
 
 #[test]
-fn the_doubt_is_over_before_the_stores_word_counts_again() -> Result {
+fn the_grace_period_ends_before_missing_entries_must_count() -> Result {
     run(async |executor| {
         let site = site()?;
         let lost = site.server(server_settings(1))?;
         let _stays = site.server(server_settings(2))?;
-        let machines = started(&executor, &site, 2).await?;
+        let test_boxes = started(&executor, &site, 2).await?;
         for _ in 0..2 {
-            silence(&site);
-            // Pauses between calls grow.
+            make_unresponsive(&site);
+            // The retry delays between calls grow.
             Timer::after(ms(2_500)).await;
             site.withdraw(&lost);
-            let back = return_unnoticed(&site).await?;
-            for machine in &machines {
-                dropped(machine, &lost).await?;
+            let back = end_outage_unnoticed(&site).await?;
+            for test_box in &test_boxes {
+                dropped(test_box, &lost).await?;
             }
             let most = CONTACT_TIME + NOTICE_TIME;
             ensure!(back.elapsed() < most, "{:?}", back.elapsed());
             site.announce(&lost, State::Ready);
-            for machine in &machines {
-                wait_until("back", async || machine.sends_to(&lost)).await?;
+            for test_box in &test_boxes {
+                wait_until("back", async || test_box.sends_to(&lost)).await?;
             }
         }
         Ok(())
@@ -81,31 +81,32 @@
 }
 
 #[test]
-fn a_box_that_followed_another_after_an_outage_believes_the_store_at_once() -> Result {
+fn a_new_reader_has_no_grace_period_long_after_an_outage() -> Result {
     run(async |executor| {
         let site = site()?;
         let gone = site.server(server_settings(1))?;
         let _stays = site.server(server_settings(2))?;
-        let mut machines = started(&executor, &site, 2).await?;
-        silence(&site);
-        let second = &machines[1];
+        let mut test_boxes = started(&executor, &site, 2).await?;
+        make_unresponsive(&site);
+        let second = &test_boxes[1];
         wait_until("noticed", async || Ok(second.store.asked() > 0)).await?;
         Timer::after(ms(2_500)).await;
         site.store.faults(|faults| faults.down = None);
-        settled(&machines, &[0]).await?;
+        settled(&test_boxes, &[0]).await?;
         Timer::after(CONTACT_TIME).await;
-        // Calm since long; the reader goes, and the other one takes its place.
-        drop(machines.remove(0));
+        // The store was reachable for long; the reader stops, and the other box takes
+        // its place.
+        drop(test_boxes.remove(0));
         let withdrawn = Instant::now();
         site.withdraw(&gone);
-        dropped(&machines[0], &gone).await?;
+        dropped(&test_boxes[0], &gone).await?;
         ensure!(withdrawn.elapsed() < ms(2_000), "{:?}", withdrawn.elapsed());
-        ready(&machines).await
+        ready(&test_boxes).await
     })
 }
 
 #[test]
-fn a_doubt_lasts_while_entries_come_back() {
+fn the_grace_period_lasts_while_entries_return() {
     let contact = CONTACT_TIME;
     let start = Instant::now();
     let at = |count| start + ms(count);
@@ -114,7 +115,7 @@
     assert!(availability.record_failure(at(0)));
     assert!(!availability.record_failure(at(1_000)));
     assert!(!availability.is_authoritative(at(60_000)));
-    // The store is back between 1.0 s and 1.3 s.
+    // The store came back between 1.0 s and 1.3 s.
     assert!(availability.record_recovery(at(1_300), contact));
     assert!(!availability.record_recovery(at(1_400), contact));
     assert!(!availability.is_authoritative(at(1_300) + RETURN_TIME));
@@ -122,38 +123,38 @@
 }
 
 #[test]
-fn a_return_that_is_noticed_late_is_not_doubted_for_longer() {
+fn a_late_noticed_return_does_not_extend_the_grace_period() {
     let start = Instant::now();
     let at = |count| start + ms(count);
     let availability = Availability::default();
     availability.record_failure(at(0));
-    // One failure is known before the other and comes after it.
+    // The call that was sent earlier is known to have failed after the later one.
     availability.record_failure(at(500));
     availability.record_failure(at(200));
     availability.record_recovery(at(2_300), CONTACT_TIME);
     assert!(!availability.is_authoritative(at(2_900)));
     assert!(availability.is_authoritative(at(3_001)));
-    // A box that asked others for a long time after its last failure.
+    // A box that followed another one for long after its last failure.
     availability.record_failure(at(4_000));
     availability.record_recovery(at(60_000), CONTACT_TIME);
     assert!(availability.is_authoritative(at(60_000)));
 }
 
 #[test]
-fn changed_slots_are_taken_over() -> Result {
+fn changed_slots_are_applied() -> Result {
     run(async |executor| {
         let site = site()?;
         let server = site.server(server_settings(1))?;
-        let machines = started(&executor, &site, 2).await?;
+        let test_boxes = started(&executor, &site, 2).await?;
         let id = server.settings().id.parse()?;
         let key = format!("{}{id}", tidepier_relay_standin::names::SERVERS);
         let entry = site.store.value(&key).ok_or_else(|| eyre!("no entry"))?;
         let mut entry: serde_json::Value = serde_json::from_slice(&entry)?;
         entry["slots"] = 48.into();
         site.store.put(&key, &entry);
-        for machine in &machines {
-            let fleet = &machine.router.relay().fleet;
-            wait_until("taken over", async || {
+        for test_box in &test_boxes {
+            let fleet = &test_box.router.relay().fleet;
+            wait_until("applied", async || {
                 Ok(fleet.get(&id).is_some_and(|known| known.slots() == 48))
             })
             .await?;
@@ -163,7 +164,7 @@
 }
 
 #[test]
-fn a_server_that_joins_another_service_leaves_the_old_one() -> Result {
+fn a_server_that_joins_another_service_is_removed_from_the_old_one() -> Result {
     run(async |executor| {
         let site = site()?;
         let server = site.server(server_settings(1))?;
@@ -181,7 +182,7 @@
 }
 
 #[test]
-fn a_stream_goes_on_at_a_server_whose_entry_goes() -> Result {
+fn a_stream_continues_at_a_server_whose_entry_is_deleted() -> Result {
     run(async |executor| {
         let site = site()?;
         let gone = site.server(stream_server_settings(1, 20, ms(100)))?;
@@ -189,9 +190,9 @@
         let front = house.router_address();
         let call = post("/u/x", "long");
         let stream = executor.spawn(async move { Client::once(front, &call).await });
-        wait_until("begun", async || Ok(gone.running() == 1)).await?;
+        wait_until("started", async || Ok(gone.running() == 1)).await?;
         let stays = house.site.server(stream_server_settings(2, 20, ms(1)))?;
-        // It never says that it leaves.
+        // It never advertises that it is leaving.
         house.site.withdraw(&gone);
         let fleet = &house.router.relay().fleet;
         let id = gone.settings().id.parse()?;
@@ -203,7 +204,7 @@
 }
 
 #[test]
-fn a_server_that_says_nothing_new_is_no_change() -> Result {
+fn a_rewritten_equal_entry_is_no_change() -> Result {
     run(async |executor| {
         let site = site()?;
         let server = site.server(server_settings(1))?;
@@ -216,7 +217,7 @@
             house.site.announce(&server, State::Ready);
             Timer::after(ms(100)).await;
         }
-        // Without any sign of life for longer than three heartbeats.
+        // Nothing from the server for longer than three heartbeats.
         let start = Instant::now();
         while start.elapsed() < ms(4_000) {
             Timer::after(ms(200)).await;
@@ -224,7 +225,7 @@
             ensure_served_by(&house.post("/r/x", &attempt).await?, &[&server], &attempt)?;
         }
         let after = fleet.get(&id).ok_or_else(|| eyre!("dropped"))?;
-        ensure!(std::rc::Rc::ptr_eq(&before, &after), "forgotten in between");
+        ensure!(std::rc::Rc::ptr_eq(&before, &after), "removed in between");
         Ok(())
     })
 }
--- a/crates/relay/tests/relay/keys.rs
+++ b/crates/relay/tests/relay/keys.rs
@@ -1,5 +1,5 @@
-//! Routes and keys: what is missing is a fact only while the catalog is fresh,
-//! and a key that was taken away opens nothing after the bound.
+//! Routes and keys: a route or key counts as missing only while the catalog is fresh,
+//! and a revoked key is rejected once the bound on keys has passed.
 
 use std::time::{Duration, Instant};
 
@@ -14,8 +14,8 @@
     Result,
 };
 
-/// The bound on keys in these tests. Longer than the time between two proofs
-/// of the router, or no key would be served steadily.
+/// The bound on keys in these tests. It is longer than the time between two freshness
+/// checks of the router; otherwise keys would be accepted with interruptions.
 const REVOKE_TIME: Duration = Duration::from_millis(2_600);
 /// The bound on changes.
 const APPLY_TIME: Duration = Duration::from_millis(2_000);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn unknown_routes_and_keys_are_told() -> Result {
+fn unknown_routes_and_keys_are_refused() -> Result {
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn nothing_is_called_missing_by_an_old_catalog() -> Result {
+fn nothing_is_reported_missing_by_an_old_catalog() -> Result {
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
@@ -67,20 +67,20 @@
         for call in [post("/nowhere/x", "path"), with_key("unknown", "key")] {
             ensure_not_executed(&house.call(&call).await?)?;
         }
-        // What is known goes on.
+        // Known routes and keys are still served.
         ensure_served_by(&house.post("/r/x", "known").await?, &[&server], "known")?;
         let answer = house.call(&with_key("stays", "key-known")).await?;
         ensure_served_by(&answer, &[&server], "key-known")?;
         house.site.store.faults(|faults| faults.down = None);
-        harness::wait_until("told again", async || {
+        harness::wait_until("refused again", async || {
             Ok(house.post("/nowhere/x", "again").await?.status == 404)
         })
         .await
     })
 }
 
-/// Takes a key away and `harms` the store at once; the key has to be refused
-/// within the bound, and the other one served again in the end.
+/// Revokes a key and immediately `harms` the store. The key has to be refused within
+/// the bound, and the other key has to be served again in the end.
 async fn revoked(executor: Executor, harm: impl FnOnce(&Site), seen: bool) -> Result {
     let site = site_with_keys()?;
     let server = site.server(server_settings(1))?;
@@ -101,7 +101,7 @@
                 ensure_not_executed(&answer)?;
             }
         }
-        // Public routes need no key and go on.
+        // Public routes need no key and are served throughout.
         let attempt = format!("public-{number}");
         ensure_served_by(&house.post("/r/x", &attempt).await?, &[&server], &attempt)?;
         Timer::after(ms(40)).await;
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn keys_are_refused_in_time_while_the_store_is_silent() -> Result {
+fn keys_are_refused_in_time_while_the_store_is_unresponsive() -> Result {
     run(async |executor| {
         let harm = |site: &Site| site.store.faults(|faults| faults.down = Some(Down::Silent));
         revoked(executor, harm, false).await
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn keys_are_refused_in_time_while_watches_learn_nothing() -> Result {
+fn keys_are_refused_in_time_while_watches_deliver_nothing() -> Result {
     run(async |executor| {
         let harm = |site: &Site| site.store.deaf(Duration::from_secs(20));
         revoked(executor, harm, true).await
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn a_key_that_was_taken_away_is_refused_in_time() -> Result {
+fn a_revoked_key_is_refused_in_time() -> Result {
     run(async |executor| {
         let site = site_with_keys()?;
         let _server = site.server(server_settings(1))?;
--- a/crates/relay/tests/relay/record.rs
+++ b/crates/relay/tests/relay/record.rs
@@ -1,4 +1,4 @@
-//! The record of how servers changed, as other boxes are told of it.
+//! The history of server changes, as other boxes request it.
 
 use eyre::ensure;
 use tidepier_core::era::Revision;
@@ -10,26 +10,26 @@
 use crate::harness::Result;
 use crate::peer_answers::{nothing, row, row_of};
 
-/// Changes that a record keeps.
+/// Changes that a history keeps.
 const CHANGES_KEPT: u64 = 64;
 
 #[test]
-fn a_record_tells_what_changed_since_a_place() -> Result {
+fn a_history_returns_the_changes_since_a_position() -> Result {
     let record = History::default();
     let (all, start) = record.since(Position::default());
     ensure!(all == Servers::All(Vec::new(), Revision::of(0)), "{all:?}");
     ensure!(
         record.since(start) == (nothing(), start),
-        "changed by itself"
+        "changes though nothing changed"
     );
     record.upsert(row("i-1", 5)?);
     record.upsert(row("i-2", 6)?);
     let (_, middle) = record.since(start);
-    // The same again is no change.
+    // The same entry again is no change.
     record.upsert(row("i-2", 6)?);
     ensure!(
         record.since(middle) == (nothing(), middle),
-        "a change of nothing"
+        "an equal entry counted as a change"
     );
     record.remove(&"i-1".parse()?, Revision::of(7));
     record.upsert(row_of("i-2", 8, State::Draining)?);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_box_too_far_behind_is_told_all() -> Result {
+fn a_box_too_far_behind_gets_the_full_list() -> Result {
     let record = History::default();
     let (_, start) = record.since(Position::default());
     for revision in 1..=CHANGES_KEPT {
@@ -71,7 +71,7 @@
     );
     let (since, end) = record.since(start);
     ensure!(since == all, "{since:?}");
-    // Places of another life, and ones that were never reached.
+    // Positions of another process, and positions that were never reached.
     let other = Position {
         life: end.life ^ 1,
         ..end
@@ -87,17 +87,20 @@
 }
 
 #[test]
-fn each_record_has_a_life_of_its_own() -> Result {
+fn each_history_has_its_own_id() -> Result {
     let lives: Vec<u64> = (0..20)
         .map(|_| History::default().since(Position::default()).1.life)
         .collect();
-    ensure!(!lives.contains(&0), "the place of one that knows nothing");
+    ensure!(
+        !lives.contains(&0),
+        "the position of a box that knows nothing"
+    );
     ensure!(lives.windows(2).all(|pair| pair[0] != pair[1]), "{lives:?}");
     Ok(())
 }
 
 #[test]
-fn an_entry_older_than_its_end_is_outdated() -> Result {
+fn an_entry_older_than_its_removal_is_outdated() -> Result {
     let record = History::default();
     record.upsert(row("i-1", 5)?);
     let id: ids::Server = "i-1".parse()?;
@@ -107,11 +110,14 @@
         ensure!(found == outdated, "{revision}: {found}");
     }
     ensure!(!record.is_outdated(&row("i-2", 1)?), "another server");
-    // Remembered while many others go.
+    // It is remembered while many other servers are removed.
     for number in 0..500 {
         record.remove(&format!("x-{number}").parse()?, Revision::of(20));
     }
-    ensure!(record.is_outdated(&row("i-1", 9)?), "forgotten");
+    ensure!(
+        record.is_outdated(&row("i-1", 9)?),
+        "the removal was forgotten"
+    );
     Ok(())
 }
 
@@ -119,7 +125,13 @@
 fn an_entry_older_than_the_known_one_is_outdated() -> Result {
     let record = History::default();
     record.upsert(row_of("i-1", 9, State::Draining)?);
-    ensure!(record.is_outdated(&row("i-1", 5)?), "taken for newer");
-    ensure!(!record.is_outdated(&row("i-1", 10)?), "a newer one");
+    ensure!(
+        record.is_outdated(&row("i-1", 5)?),
+        "an older entry counts as newer"
+    );
+    ensure!(
+        !record.is_outdated(&row("i-1", 10)?),
+        "a newer entry counts as outdated"
+    );
     Ok(())
 }
--- a/crates/relay/tests/relay/returned.rs
+++ b/crates/relay/tests/relay/returned.rs
@@ -1,9 +1,9 @@
-//! What a box believes of servers, halls, releases and boxes after the store went back
-//! to an older copy of itself.
+//! What happens to servers, halls, releases and boxes after the store was restored from
+//! an older backup.
 //!
-//! Pattern: entries that the copy lacks are written again within two seconds, or are
-//! gone; entries that it has again may be of servers that left, halls that were taken
-//! back, or orders that came further.
+//! Pattern: entries that the backup lacks are written again within two seconds, or are
+//! gone. Backup entries may be of servers that left, of halls whose emptying was
+//! cancelled, or of rollout orders that progressed since.
 
 use std::time::{Duration, Instant};
 
@@ -18,7 +18,7 @@
 use tidepier_relay_standin::store::{Copy, Down};
 
 use crate::box_harness::{self, ready, site_with_keys, started, TestBox, BOXES, REVOKE_TIME};
-use crate::eras::drill;
+use crate::eras::restore_after_outage;
 use crate::harness::{
     ensure_served_by, ms, run, server_settings, site, start_with_one_server,
     start_with_two_servers, wait_until, Harness, Result, SERVICE,
@@ -26,10 +26,10 @@
 
 /// Time in which servers have written again what the store lost.
 const REWRITE_TIME: Duration = Duration::from_millis(2_000);
-/// Time in which a server that is silent loses its entry, and it is known here.
+/// Time in which an unresponsive server loses its entry and this is known here.
 const SILENCE_TIME: Duration = Duration::from_millis(4_800);
 
-/// Sends requests for a while; all of them are answered by one of these servers.
+/// Sends requests for a while; each is answered by one of these servers.
 async fn served_by(house: &Harness, servers: &[&Server], time: Duration) -> Result {
     let start = Instant::now();
     while start.elapsed() < time {
@@ -42,22 +42,22 @@
     Ok(())
 }
 
-async fn forgotten(house: &Harness, server: &Server) -> Result {
-    wait_until("forgotten", async || Ok(!house.knows(server))).await
+async fn removed(house: &Harness, server: &Server) -> Result {
+    wait_until("removed", async || Ok(!house.knows(server))).await
 }
 
-/// Guards against requests to a server that left before the store went back, and whose
-/// entry is there again.
+/// Guards against requests to a server that left before the restore and has a backup
+/// entry.
 #[test]
-fn a_server_that_had_left_gets_nothing_by_the_copy() -> Result {
+fn a_removed_server_gets_no_requests_by_a_backup_entry() -> Result {
     for outage in [true, false] {
         run(async |executor| {
             let (near, far, house) = start_with_two_servers(executor).await?;
             let copy = house.site.store.copy();
             house.site.withdraw(&far);
-            forgotten(&house, &far).await?;
+            removed(&house, &far).await?;
             let before = far.runs().len();
-            go_back(&house.site, &copy, outage).await;
+            restore(&house.site, &copy, outage).await;
             served_by(&house, &[&near], SILENCE_TIME - ms(800)).await?;
             house.site.withdraw(&far);
             served_by(&house, &[&near], ms(1_500)).await?;
@@ -68,17 +68,17 @@
     Ok(())
 }
 
-async fn go_back(site: &Site, copy: &Copy, outage: bool) {
+async fn restore(site: &Site, copy: &Copy, outage: bool) {
     match outage {
-        true => drill(site, copy).await,
+        true => restore_after_outage(site, copy).await,
         false => site.store.go_back(copy),
     }
 }
 
-/// Guards against requests to a server that leaves, and whose entry says that it is ready
-/// again.
+/// Guards against requests to a leaving server whose backup entry says that it is
+/// ready.
 #[test]
-fn a_server_that_leaves_gets_nothing_by_the_copy() -> Result {
+fn a_leaving_server_gets_no_requests_by_a_backup_entry() -> Result {
     run(async |executor| {
         let (near, far, house) = start_with_two_servers(executor).await?;
         let copy = house.site.store.copy();
@@ -92,17 +92,17 @@
         })
         .await?;
         let before = far.runs().len();
-        drill(&house.site, &copy).await;
+        restore_after_outage(&house.site, &copy).await;
         served_by(&house, &[&near], SILENCE_TIME + ms(500)).await?;
         ensure!(far.runs().len() == before, "sent to a server that leaves");
         Ok(())
     })
 }
 
-/// Guards against a server being lost to callers that joined after the copy and writes
-/// again in time, and against one being kept that does not.
+/// Guards against losing a server that joined after the backup and writes its entry
+/// again in time, and against keeping one that does not.
 #[test]
-fn a_server_that_joined_after_the_copy_has_two_seconds() -> Result {
+fn a_server_that_joined_after_the_backup_has_two_seconds() -> Result {
     for outage in [true, false] {
         run(async |executor| {
             let (near, house) = start_with_one_server(executor).await?;
@@ -113,33 +113,36 @@
                 Ok(house.knows(&again) && house.knows(&silent))
             })
             .await?;
-            go_back(&house.site, &copy, outage).await;
+            restore(&house.site, &copy, outage).await;
             let back = Instant::now();
             while back.elapsed() < REWRITE_TIME - ms(300) {
                 ensure!(house.knows(&again), "after {:?}", back.elapsed());
                 served_by(&house, &[&near, &again, &silent], ms(50)).await?;
             }
             house.site.announce(&again, State::Ready);
-            forgotten(&house, &silent).await?;
+            removed(&house, &silent).await?;
             ensure!(back.elapsed() < ms(3_500), "{:?}", back.elapsed());
-            ensure!(house.knows(&again), "forgotten though it wrote again");
+            ensure!(
+                house.knows(&again),
+                "removed though it wrote its entry again"
+            );
             served_by(&house, &[&near, &again], ms(300)).await
         })?;
     }
     Ok(())
 }
 
-/// Guards against a server being kept away that had lost its entry and writes again.
+/// Guards against not using a server that had lost its entry and writes it again.
 #[test]
-fn a_server_that_writes_again_after_the_return_is_used_at_once() -> Result {
+fn a_server_that_rewrites_its_entry_is_used_at_once() -> Result {
     run(async |executor| {
         let (near, far, house) = start_with_two_servers(executor).await?;
         let copy = house.site.store.copy();
         house.site.withdraw(&far);
-        forgotten(&house, &far).await?;
-        drill(&house.site, &copy).await;
+        removed(&house, &far).await?;
+        restore_after_outage(&house.site, &copy).await;
         Timer::after(ms(500)).await;
-        ensure!(!house.knows(&far), "by the copy alone");
+        ensure!(!house.knows(&far), "known by its backup entry alone");
         house.site.announce(&far, State::Ready);
         let since = Instant::now();
         wait_until("known", async || Ok(house.knows(&far))).await?;
@@ -148,17 +151,17 @@
     })
 }
 
-/// Guards against a server being kept away forever whose entry the copy has, and which
-/// has nothing to write again.
+/// Guards against never using a server again that has a backup entry and no reason to
+/// write it again.
 #[test]
-fn a_server_that_stays_in_the_copy_is_used_after_a_while() -> Result {
+fn a_server_with_only_a_backup_entry_is_used_after_the_hold_time() -> Result {
     run(async |executor| {
         let (near, far, house) = start_with_two_servers(executor).await?;
         let copy = house.site.store.copy();
         house.site.withdraw(&far);
-        forgotten(&house, &far).await?;
+        removed(&house, &far).await?;
         let back = Instant::now();
-        drill(&house.site, &copy).await;
+        restore_after_outage(&house.site, &copy).await;
         wait_until("known", async || Ok(house.knows(&far))).await?;
         ensure!(back.elapsed() > SILENCE_TIME, "{:?}", back.elapsed());
         ensure!(
@@ -170,10 +173,10 @@
     })
 }
 
-/// Guards against a server's former life by which the copy knows it ending its present
-/// one.
+/// Guards against a server's present incarnation being ended by a backup entry of an
+/// earlier one.
 #[test]
-fn a_former_life_in_the_copy_does_not_end_the_present_one() -> Result {
+fn a_backup_entry_of_an_earlier_incarnation_does_not_end_the_present_one() -> Result {
     run(async |executor| {
         let (near, far, house) = start_with_two_servers(executor).await?;
         let born = |birth: u64| {
@@ -186,76 +189,84 @@
         born(1);
         let id = far.settings().id.parse()?;
         let fleet = &house.router.relay().fleet;
-        let life = || fleet.get(&id).and_then(|it| it.born()).map(|born| born.0);
-        wait_until("born", async || Ok(life() == Some(1))).await?;
+        let incarnation = || fleet.get(&id).and_then(|it| it.born()).map(|born| born.0);
+        wait_until("born", async || Ok(incarnation() == Some(1))).await?;
         let copy = house.site.store.copy();
         born(2);
-        wait_until("born again", async || Ok(life() == Some(2))).await?;
-        drill(&house.site, &copy).await;
+        wait_until("born again", async || Ok(incarnation() == Some(2))).await?;
+        restore_after_outage(&house.site, &copy).await;
         let back = Instant::now();
         while back.elapsed() < REWRITE_TIME {
-            ensure!(life() == Some(2), "{:?}: {:?}", back.elapsed(), life());
+            ensure!(
+                incarnation() == Some(2),
+                "{:?}: {:?}",
+                back.elapsed(),
+                incarnation()
+            );
             Timer::after(ms(20)).await;
         }
         born(2);
         served_by(&house, &[&near, &far], ms(300)).await?;
         Timer::after(SILENCE_TIME - REWRITE_TIME + ms(400)).await;
-        ensure!(life() == Some(2), "{:?}", life());
+        ensure!(incarnation() == Some(2), "{:?}", incarnation());
         Ok(())
     })
 }
 
-/// Guards against requests to a hall that is to be empty, as the copy lacks the
-/// operator's word.
+/// Guards against requests to an emptied hall because the backup lacks the operator's
+/// entry.
 #[test]
-fn a_hall_that_was_emptied_stays_so_until_the_operator_could_write_again() -> Result {
+fn an_emptied_hall_stays_empty_for_the_hold_time() -> Result {
     run(async |executor| {
         let site = site_with_keys()?;
         let near = site.server(server_settings(1))?;
         let far = site.server(server_settings(2))?;
-        let machines = started(&executor, &site, 2).await?;
+        let test_boxes = started(&executor, &site, 2).await?;
         let copy = site.store.copy();
         site.empty_hall("hall-1");
-        for machine in &machines {
-            wait_until("emptied", async || Ok(!machine.sends_to(&near)?)).await?;
+        for test_box in &test_boxes {
+            wait_until("emptied", async || Ok(!test_box.sends_to(&near)?)).await?;
         }
         let back = Instant::now();
-        drill(&site, &copy).await;
+        restore_after_outage(&site, &copy).await;
         while back.elapsed() < REVOKE_TIME - ms(200) {
-            for machine in &machines {
-                ensure!(!machine.sends_to(&near)?, "after {:?}", back.elapsed());
+            for test_box in &test_boxes {
+                ensure!(!test_box.sends_to(&near)?, "after {:?}", back.elapsed());
             }
             Timer::after(ms(20)).await;
         }
         site.empty_hall("hall-1");
         Timer::after(REVOKE_TIME).await;
-        for machine in &machines {
-            ensure!(!machine.sends_to(&near)?, "it was written again");
-            ensure!(machine.sends_to(&far)?, "the other hall");
+        for test_box in &test_boxes {
+            ensure!(
+                !test_box.sends_to(&near)?,
+                "in use though its entry was written again"
+            );
+            ensure!(test_box.sends_to(&far)?, "the other hall is not used");
         }
         site.take_back("hall-1");
-        for machine in &machines {
-            wait_until("given back", async || machine.sends_to(&near)).await?;
+        for test_box in &test_boxes {
+            wait_until("in use again", async || test_box.sends_to(&near)).await?;
         }
-        ready(&machines).await
+        ready(&test_boxes).await
     })
 }
 
-/// Guards against a box that starts sending to a hall that those beside it know is to be
-/// empty.
+/// Guards against a box that starts and sends requests to a hall that the other boxes
+/// know to be emptied.
 #[test]
-fn a_box_that_starts_holds_empty_what_others_do() -> Result {
+fn a_starting_box_keeps_halls_empty_as_others_do() -> Result {
     run(async |executor| {
         let site = site_with_keys()?;
         let near = site.server(server_settings(1))?;
         let _far = site.server(server_settings(2))?;
-        let machines = started(&executor, &site, 2).await?;
+        let test_boxes = started(&executor, &site, 2).await?;
         let copy = site.store.copy();
         site.empty_hall("hall-1");
-        for machine in &machines {
-            wait_until("emptied", async || Ok(!machine.sends_to(&near)?)).await?;
+        for test_box in &test_boxes {
+            wait_until("emptied", async || Ok(!test_box.sends_to(&near)?)).await?;
         }
-        drill(&site, &copy).await;
+        restore_after_outage(&site, &copy).await;
         let back = Instant::now();
         let starts = TestBox::start(&executor, &site, "box-9", "hall-1", 9_000).await?;
         while back.elapsed() < REVOKE_TIME - ms(200) {
@@ -272,23 +283,23 @@
     })
 }
 
-/// Guards against a hall that is never used again, as its entry is gone for good.
+/// Guards against a hall that is never used again because its entry is gone for good.
 #[test]
-fn a_hall_whose_emptying_is_not_written_again_is_used_after_a_while() -> Result {
+fn an_emptied_hall_whose_entry_is_not_rewritten_is_used_after_the_hold_time() -> Result {
     run(async |executor| {
         let site = site_with_keys()?;
         let near = site.server(server_settings(1))?;
         let _far = site.server(server_settings(2))?;
-        let machines = started(&executor, &site, 2).await?;
+        let test_boxes = started(&executor, &site, 2).await?;
         let copy = site.store.copy();
         site.empty_hall("hall-1");
-        for machine in &machines {
-            wait_until("emptied", async || Ok(!machine.sends_to(&near)?)).await?;
+        for test_box in &test_boxes {
+            wait_until("emptied", async || Ok(!test_box.sends_to(&near)?)).await?;
         }
         let back = Instant::now();
-        drill(&site, &copy).await;
-        for machine in &machines {
-            wait_until("given back", async || machine.sends_to(&near)).await?;
+        restore_after_outage(&site, &copy).await;
+        for test_box in &test_boxes {
+            wait_until("in use again", async || test_box.sends_to(&near)).await?;
         }
         let took = back.elapsed();
         ensure!(took < REVOKE_TIME + ms(2_500), "{took:?}");
@@ -296,21 +307,21 @@
     })
 }
 
-/// Guards against a hall that is never used again, as the store goes back once more when
-/// the time of the first return is over.
+/// Guards against a hall that is never used again because the store is restored once
+/// more when the hold time of the first restore is over.
 #[test]
-fn a_hall_is_used_again_after_a_return_that_follows_another() -> Result {
+fn a_hall_is_used_again_after_two_restores_in_a_row() -> Result {
     run(async |executor| {
         let site = site_with_keys()?;
         let near = site.server(server_settings(1))?;
         let _far = site.server(server_settings(2))?;
-        let machines = started(&executor, &site, 2).await?;
+        let test_boxes = started(&executor, &site, 2).await?;
         let copy = site.store.copy();
         site.empty_hall("hall-1");
-        for machine in &machines {
-            wait_until("emptied", async || Ok(!machine.sends_to(&near)?)).await?;
+        for test_box in &test_boxes {
+            wait_until("emptied", async || Ok(!test_box.sends_to(&near)?)).await?;
         }
-        drill(&site, &copy).await;
+        restore_after_outage(&site, &copy).await;
         Timer::after(REVOKE_TIME - ms(300)).await;
         site.store.faults(|faults| faults.down = Some(Down::Reset));
         site.store.cut_watches();
@@ -318,10 +329,10 @@
         site.store.go_back(&copy);
         site.store.faults(|faults| faults.down = None);
         let back = Instant::now();
-        // One that starts hears of the hall from those beside it.
+        // A box that starts learns from the other boxes that the hall is emptied.
         let starts = TestBox::start(&executor, &site, "box-9", "hall-1", 9_000).await?;
-        for machine in machines.iter().chain([&starts]) {
-            wait_until("given back", async || machine.sends_to(&near)).await?;
+        for test_box in test_boxes.iter().chain([&starts]) {
+            wait_until("in use again", async || test_box.sends_to(&near)).await?;
         }
         let took = back.elapsed();
         ensure!(took < REVOKE_TIME + ms(2_500), "{took:?}");
@@ -329,94 +340,96 @@
     })
 }
 
-/// Guards against a hall that is never used again, as the box stood still from one return
-/// until after the next, and learns of that one while it takes back the first.
+/// Guards against a hall that is never used again because the box was frozen from one
+/// restore until after the next one, and learns of the second while it ends the hold of
+/// the first.
 #[test]
-fn a_hall_is_used_again_by_a_box_that_stood_still_between_two_returns() -> Result {
+fn a_hall_is_used_again_by_a_box_frozen_between_two_restores() -> Result {
     run(async |executor| {
         let site = site_with_keys()?;
         let near = site.server(server_settings(1))?;
         let _far = site.server(server_settings(2))?;
-        let machines = started(&executor, &site, 1).await?;
-        let machine = &machines[0];
+        let test_boxes = started(&executor, &site, 1).await?;
+        let test_box = &test_boxes[0];
         let copy = site.store.copy();
         site.empty_hall("hall-1");
-        wait_until("emptied", async || Ok(!machine.sends_to(&near)?)).await?;
-        drill(&site, &copy).await;
+        wait_until("emptied", async || Ok(!test_box.sends_to(&near)?)).await?;
+        restore_after_outage(&site, &copy).await;
         let era = site.store.era();
         wait_until("noticed", async || {
-            let known = machine.router.relay().standing.era();
+            let known = test_box.router.relay().standing.era();
             Ok(known.is_some_and(|known| known.0 == era))
         })
         .await?;
-        machine.freeze(true);
+        test_box.freeze(true);
         site.store.cut_watches();
         site.store.go_back(&copy);
         Timer::after(REVOKE_TIME + ms(600)).await;
-        machine.freeze(false);
+        test_box.freeze(false);
         let thawed = Instant::now();
-        wait_until("given back", async || machine.sends_to(&near)).await?;
+        wait_until("in use again", async || test_box.sends_to(&near)).await?;
         let took = thawed.elapsed();
         ensure!(took < REVOKE_TIME + ms(2_500), "{took:?}");
         Ok(())
     })
 }
 
-/// Guards against a hall being held empty, as the copy lacks its entry, by a box that stood
-/// still while the operator took it back.
+/// Guards against a hall being kept empty, because the backup lacks its entry, by a box
+/// that was frozen while the operator cancelled the emptying.
 #[test]
-fn a_hall_that_was_taken_back_unheard_is_used_at_once_after_a_return() -> Result {
+fn a_hall_whose_cancellation_was_missed_is_used_at_once_after_a_restore() -> Result {
     run(async |executor| {
         let site = site_with_keys()?;
         let near = site.server(server_settings(1))?;
         let _far = site.server(server_settings(2))?;
-        let machines = started(&executor, &site, 1).await?;
-        let machine = &machines[0];
+        let test_boxes = started(&executor, &site, 1).await?;
+        let test_box = &test_boxes[0];
         site.empty_hall("hall-1");
-        wait_until("emptied", async || Ok(!machine.sends_to(&near)?)).await?;
-        machine.freeze(true);
+        wait_until("emptied", async || Ok(!test_box.sends_to(&near)?)).await?;
+        test_box.freeze(true);
         site.take_back("hall-1");
         let copy = site.store.copy();
         Timer::after(REVOKE_TIME + ms(400)).await;
         site.store.cut_watches();
         site.store.go_back(&copy);
-        machine.freeze(false);
+        test_box.freeze(false);
         let thawed = Instant::now();
-        wait_until("used", async || machine.sends_to(&near)).await?;
+        wait_until("used", async || test_box.sends_to(&near)).await?;
         ensure!(thawed.elapsed() < ms(2_000), "{:?}", thawed.elapsed());
         Ok(())
     })
 }
 
-/// Guards against a hall being emptied by an entry that the operator had taken back.
+/// Guards against a hall being emptied by a backup entry after the operator cancelled
+/// the emptying.
 #[test]
-fn a_hall_that_was_taken_back_is_not_emptied_by_the_copy() -> Result {
+fn a_cancelled_emptying_is_not_revived_by_a_backup_entry() -> Result {
     run(async |executor| {
         let site = site_with_keys()?;
         let near = site.server(server_settings(1))?;
         let far = site.server(server_settings(2))?;
         site.empty_hall("hall-1");
-        let machines = started(&executor, &site, 2).await?;
+        let test_boxes = started(&executor, &site, 2).await?;
         let copy = site.store.copy();
         site.take_back("hall-1");
-        for machine in &machines {
-            wait_until("given back", async || machine.sends_to(&near)).await?;
+        for test_box in &test_boxes {
+            wait_until("in use again", async || test_box.sends_to(&near)).await?;
         }
         let back = tidepier_clock::Instant::now();
-        drill(&site, &copy).await;
+        restore_after_outage(&site, &copy).await;
         while back.elapsed() < REVOKE_TIME - ms(200) {
-            for machine in &machines {
-                ensure!(machine.sends_to(&near)?, "after {:?}", back.elapsed());
+            for test_box in &test_boxes {
+                ensure!(test_box.sends_to(&near)?, "after {:?}", back.elapsed());
             }
             Timer::after(ms(20)).await;
         }
         site.account("tenant-2", &["new"], 1);
-        wait_until("proven", async || {
-            let proven = |machine: &TestBox| machine.proven().is_some_and(|at| at > back);
-            Ok(machines.iter().all(proven))
+        wait_until("confirmed", async || {
+            let proven = |test_box: &TestBox| test_box.proven().is_some_and(|at| at > back);
+            Ok(test_boxes.iter().all(proven))
         })
         .await?;
-        box_harness::served(&machines, &[&near, &far], ms(200)).await
+        box_harness::served(&test_boxes, &[&near, &far], ms(200)).await
     })
 }
 
@@ -435,7 +448,7 @@
     house.site.store.put(&key, &order);
 }
 
-/// A box with a release that fails, and the servers of that release.
+/// Adds servers with a release that fails to those of a box; returns them.
 async fn failing(house: &Harness) -> Result<Vec<Server>> {
     let mut servers = Vec::new();
     for number in 11..17 {
@@ -468,10 +481,10 @@
     Ok(())
 }
 
-/// Guards against a release that was rolled back being tried again, as the store went back
-/// behind that or behind the order.
+/// Guards against a release being tried again after its rollback, because the backup is
+/// from before the rollback or before the order.
 #[test]
-fn a_release_that_was_rolled_back_stays_so() -> Result {
+fn a_rolled_back_release_stays_rolled_back() -> Result {
     for behind_order in [false, true] {
         run(async |executor| {
             let site = site()?;
@@ -479,8 +492,8 @@
                 site.server(server_settings(1))?,
                 site.server(server_settings(2))?,
             ];
-            let house = Harness::start_with_settings(executor, site, |told| {
-                told["bounds"]["exposure_share"] = json!(0.4);
+            let house = Harness::start_with_settings(executor, site, |values| {
+                values["bounds"]["exposure_share"] = json!(0.4);
             })
             .await?;
             let servers = failing(&house).await?;
@@ -491,7 +504,7 @@
             rolled_back(&house).await?;
             let got = || -> usize { servers.iter().map(|server| server.runs().len()).sum() };
             let tried = got();
-            drill(&house.site, if behind_order { &before } else { &begun }).await;
+            restore_after_outage(&house.site, if behind_order { &before } else { &begun }).await;
             let back = Instant::now();
             let mut number = 0;
             while back.elapsed() < ms(1_500) {
@@ -521,73 +534,75 @@
     Ok(())
 }
 
-/// Guards against boxes that nobody lists any more, as the copy lacks their entries, and
-/// against a herd of them at the store.
+/// Guards against boxes that no other lists any more because the backup lacks their
+/// entries, and against all of them calling the store at once.
 #[test]
-fn boxes_that_the_copy_lacks_are_registered_again() -> Result {
+fn boxes_that_the_backup_lacks_are_registered_again() -> Result {
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
         let copy = site.store.copy();
-        let machines = started(&executor, &site, 4).await?;
+        let test_boxes = started(&executor, &site, 4).await?;
         let before = site.store.keys(BOXES).len();
         ensure!(before == 4, "{before}");
         let calls: u64 = site.store.all_calls().values().sum();
-        drill(&site, &copy).await;
+        restore_after_outage(&site, &copy).await;
         ensure!(site.store.keys(BOXES).is_empty());
         wait_until("registered", async || Ok(site.store.keys(BOXES).len() == 4)).await?;
         let made = site.store.all_calls().values().sum::<u64>() - calls;
-        // Each box: its entry, a lease, a write; the readers what they read and prove.
+        // Each box needs its entry, a lease and a write; the readers also read and
+        // check.
         ensure!(made < 80, "{made} calls");
-        box_harness::served(&machines, &[&server], ms(300)).await
+        box_harness::served(&test_boxes, &[&server], ms(300)).await
     })
 }
 
-/// Guards against boxes that follow one which has not heard of the return.
+/// Guards against boxes that follow one which has not observed the restore.
 #[test]
-fn a_box_of_the_former_era_is_not_followed() -> Result {
+fn a_box_of_a_stale_era_is_not_followed() -> Result {
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
-        let machines = started(&executor, &site, 3).await?;
+        let test_boxes = started(&executor, &site, 3).await?;
         let copy = site.store.copy();
         let known = site.account("tenant-2", &["newer"], 1);
-        let version = |machine: &TestBox| machine.router.relay().view.version().0;
+        let version = |test_box: &TestBox| test_box.router.relay().view.version().0;
         wait_until("in force", async || {
-            Ok(machines.iter().all(|it| version(it) == known))
+            Ok(test_boxes.iter().all(|it| version(it) == known))
         })
         .await?;
-        machines[0].store.silence();
+        test_boxes[0].store.silence();
         site.store.go_back(&copy);
         let newest = site.account("tenant-2", &["newest"], 1);
         wait_until("in force", async || {
-            Ok(machines[1..].iter().all(|it| version(it) == newest))
+            Ok(test_boxes[1..].iter().all(|it| version(it) == newest))
         })
         .await?;
-        // The first one answers the others again, as soon as it hears of the return.
-        machines[0].store.mend();
-        wait_until("in force", async || Ok(version(&machines[0]) == newest)).await?;
+        // The first one answers the others again as soon as it has observed the
+        // restore.
+        test_boxes[0].store.mend();
+        wait_until("in force", async || Ok(version(&test_boxes[0]) == newest)).await?;
         let mended = Instant::now();
-        wait_until("proven", async || {
-            let proven = machines[0].proven();
+        wait_until("confirmed", async || {
+            let proven = test_boxes[0].proven();
             Ok(proven.is_some_and(|at| at.elapsed() < ms(500)))
         })
         .await?;
         ensure!(mended.elapsed() < ms(2_500), "{:?}", mended.elapsed());
         let start = Instant::now();
         while start.elapsed() < ms(2_000) {
-            for machine in &machines {
-                ensure!(version(machine) == newest, "{}", version(machine));
+            for test_box in &test_boxes {
+                ensure!(version(test_box) == newest, "{}", version(test_box));
             }
-            box_harness::served(&machines, &[&server], ms(50)).await?;
+            box_harness::served(&test_boxes, &[&server], ms(50)).await?;
         }
         Ok(())
     })
 }
 
-/// Guards against entries of a server under an id that cannot be read in the copy.
+/// Guards against unreadable backup entries being taken for servers.
 #[test]
-fn strange_entries_of_the_copy_name_no_server() -> Result {
+fn unreadable_backup_entries_are_not_servers() -> Result {
     run(async |executor| {
         let (near, house) = start_with_one_server(executor).await?;
         house
@@ -596,7 +611,7 @@
             .put_bytes(&format!("{}x", names::SERVERS), b"?".to_vec());
         let copy = house.site.store.copy();
         house.site.store.remove(&format!("{}x", names::SERVERS));
-        drill(&house.site, &copy).await;
+        restore_after_outage(&house.site, &copy).await;
         served_by(&house, &[&near], ms(600)).await?;
         let id: ids::Server = "x".parse().map_err(|error| eyre!("{error}"))?;
         ensure!(house.router.relay().fleet.get(&id).is_none(), "known");
--- a/crates/relay/tests/relay/strangers.rs
+++ b/crates/relay/tests/relay/strangers.rs
@@ -1,4 +1,4 @@
-//! Entries of other writers among those of servers.
+//! Entries among those of servers that were not written by servers.
 
 use eyre::ensure;
 use serde_json::{json, Value};
@@ -23,8 +23,9 @@
     })
 }
 
-/// Entries that name no server to use: bytes, and an entry with one field changed.
-fn strange() -> Vec<Vec<u8>> {
+/// Entries that describe no usable server: arbitrary bytes, and valid entries with one
+/// field changed.
+fn invalid_entries() -> Vec<Vec<u8>> {
     let mut found: Vec<Vec<u8>> = [
         &b""[..],
         b"{",
@@ -77,70 +78,70 @@
     found
 }
 
-fn serving(machine: &TestBox) -> Result<usize> {
+fn serving(test_box: &TestBox) -> Result<usize> {
     let service = SERVICE.parse()?;
-    Ok(machine.router.relay().fleet.serving(&service).len())
+    Ok(test_box.router.relay().fleet.serving(&service).len())
 }
 
 #[test]
-fn strange_entries_name_no_server_and_harm_no_other() -> Result {
+fn invalid_entries_are_ignored_and_harm_no_other() -> Result {
     run(async |executor| {
         let site = site()?;
         let good = [
             site.server(server_settings(1))?,
             site.server(server_settings(2))?,
         ];
-        // Half of them are there at the start, the others come while it runs.
-        let strange = strange();
+        // Half of them exist at the start, the others are added while the router runs.
+        let invalid = invalid_entries();
         let put = |at: usize| {
             site.store
-                .put_bytes(&key(&format!("s-{at}")), strange[at].clone())
+                .put_bytes(&key(&format!("s-{at}")), invalid[at].clone())
         };
-        (0..strange.len()).step_by(2).for_each(|at| {
+        (0..invalid.len()).step_by(2).for_each(|at| {
             put(at);
         });
         site.store.put(&key("No Id"), &entry(200));
-        let machines = started(&executor, &site, 2).await?;
-        (1..strange.len()).step_by(2).for_each(|at| {
+        let test_boxes = started(&executor, &site, 2).await?;
+        (1..invalid.len()).step_by(2).for_each(|at| {
             put(at);
         });
         let marker = site.server(server_settings(3))?;
-        for machine in &machines {
-            wait_until("followed", async || Ok(machine.knows(&marker))).await?;
-            ensure!(serving(machine)? == 3, "{} servers", serving(machine)?);
-            let answer = machine.call(&post("/r/x", &machine.name)).await?;
-            ensure_served_by(&answer, &[&good[0], &good[1], &marker], &machine.name)?;
+        for test_box in &test_boxes {
+            wait_until("followed", async || Ok(test_box.knows(&marker))).await?;
+            ensure!(serving(test_box)? == 3, "{} servers", serving(test_box)?);
+            let answer = test_box.call(&post("/r/x", &test_box.name)).await?;
+            ensure_served_by(&answer, &[&good[0], &good[1], &marker], &test_box.name)?;
         }
-        // Read as a list, they say the same.
+        // The result is the same when they are read as a list.
         site.store.compact();
         site.store.cut_watches();
         let second = site.server(server_settings(4))?;
-        for machine in &machines {
-            wait_until("followed", async || Ok(machine.knows(&second))).await?;
-            ensure!(serving(machine)? == 4, "{} servers", serving(machine)?);
+        for test_box in &test_boxes {
+            wait_until("followed", async || Ok(test_box.knows(&second))).await?;
+            ensure!(serving(test_box)? == 4, "{} servers", serving(test_box)?);
         }
-        ready(&machines).await
+        ready(&test_boxes).await
     })
 }
 
-/// Whether the change is watched or the list is read.
+/// The entry's change may be received by a watch or read in a list.
 #[test]
-fn a_server_whose_entry_becomes_strange_is_not_used() -> Result {
+fn a_server_whose_entry_becomes_invalid_is_not_used() -> Result {
     run(async |executor| {
         let site = site()?;
         let server = site.server(server_settings(1))?;
         let other = site.server(server_settings(2))?;
-        let machines = started(&executor, &site, 2).await?;
+        let test_boxes = started(&executor, &site, 2).await?;
         for bytes in [&b"\xff"[..], b"{}", br#"{"state":"ready"}"#] {
             site.store.put_bytes(&key("i-1"), bytes.to_vec());
-            for machine in &machines {
-                wait_until("dropped", async || Ok(!machine.knows(&server))).await?;
-                let answer = machine.call(&post("/r/x", &machine.name)).await?;
-                ensure_served_by(&answer, &[&other], &machine.name)?;
+            for test_box in &test_boxes {
+                wait_until("dropped", async || Ok(!test_box.knows(&server))).await?;
+                let answer = test_box.call(&post("/r/x", &test_box.name)).await?;
+                ensure_served_by(&answer, &[&other], &test_box.name)?;
             }
             site.announce(&server, State::Ready);
-            for machine in &machines {
-                wait_until("back", async || machine.sends_to(&server)).await?;
+            for test_box in &test_boxes {
+                wait_until("back", async || test_box.sends_to(&server)).await?;
             }
         }
         Ok(())
