--- a/crates/core/src/answer.rs
+++ b/crates/core/src/answer.rs
@@ -33,9 +33,9 @@
 }
 
 impl Answer {
-    /// How long the server asks this sender for a back-off. Only a 503 concerns the
-    /// server as a whole; a delay that a 429 or an error of the server's own asks for
-    /// concerns the request alone.
+    /// The back-off that the server requests from whoever sent it the request. Only a
+    /// 503 concerns the server as a whole; the delay that comes with a 429 or with an
+    /// error of the server's own concerns this request alone.
     pub fn requested_backoff(&self) -> Option<Duration> {
         let asked = self.retry_after.filter(|time| !time.is_zero());
         asked.filter(|_| self.status == REJECTED)
--- a/crates/core/src/era.rs
+++ b/crates/core/src/era.rs
@@ -99,9 +99,9 @@
     /// # Errors
     ///
     /// A later era was observed before.
-    pub fn observe(&self, told: Option<Era>) -> Result<Era, StaleEra> {
+    pub fn observe(&self, stated: Option<Era>) -> Result<Era, StaleEra> {
         let newest = self.newest.get();
-        let era = told.unwrap_or(newest);
+        let era = stated.unwrap_or(newest);
         if era < newest {
             return Err(StaleEra { era, newest });
         }
--- a/crates/relay/src/follow/catalog.rs
+++ b/crates/relay/src/follow/catalog.rs
@@ -26,7 +26,7 @@
 /// How long writes are avoided after one got no answer.
 const UNANSWERED_MAX: Duration = Duration::from_secs(5);
 
-/// A freshness check that is under way.
+/// A freshness check that is in flight.
 struct Check {
     /// When it was sent.
     asked: Instant,
--- a/crates/relay/src/follow/halls.rs
+++ b/crates/relay/src/follow/halls.rs
@@ -86,7 +86,7 @@
         conditions.collect()
     }
 
-    /// Whether these entries, which a freshness check returned, are those that the
+    /// Whether the emptied halls that a freshness check returned are those that the
     /// store was known to have.
     pub(super) fn matches_emptied(&self, items: &[Item]) -> bool {
         let found = items.iter().filter_map(row);
--- a/crates/relay/src/follow/servers.rs
+++ b/crates/relay/src/follow/servers.rs
@@ -17,7 +17,7 @@
 use crate::timeout;
 
 /// Time for which further changes of servers are gathered before the watch is called
-/// again: each call of a watch costs.
+/// again: each answer of a watch takes a call, and calls to the store have a price.
 const GATHER_INTERVAL: Duration = Duration::from_millis(400);
 /// Number of changes in one answer of a watch from which more are likely to be pending,
 /// so that nothing is gathered: the store returns a few hundred at once, and 10,000
@@ -25,7 +25,7 @@
 const PENDING_CHANGES_MIN: usize = 100;
 /// Longest wait of the first call of a watch that continues from what other boxes sent.
 const RESUME_TIMEOUT: Duration = Duration::from_millis(20);
-/// Interval at which the end of the grace period is checked for.
+/// Interval between two checks whether the grace period is over.
 const GRACE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Whether a watch continues from what other boxes sent.
@@ -70,7 +70,7 @@
 
     /// Waits, during the grace period of the store, for boxes that rank before this one
     /// to send the servers. All boxes of a hall begin to read the store when they lose
-    /// grace_period with it, and after a restore from an older backup no watch can continue,
+    /// contact with it, and after a restore from an older backup no watch can continue,
     /// so that each of them would list all servers.
     async fn wait_for_reader(&self) {
         if self.boxes_before.get() < PROBING_BOXES || self.record.complete_revision().is_none() {
