--- a/crates/relay/tests/relay/keys.rs
+++ b/crates/relay/tests/relay/keys.rs
@@ -1,5 +1,5 @@
 //! Routes and keys: a route or key counts as missing only while the catalog is fresh,
-//! and a revoked key is rejected once the bound on keys has passed.
+//! and a revoked key is refused once the bound on keys has passed.
 
 use std::time::{Duration, Instant};
 
--- a/crates/relay/tests/relay/beliefs.rs
+++ b/crates/relay/tests/relay/local_view.rs
@@ -191,8 +191,8 @@
         let calls = house.site.store.all_calls().values().sum::<u64>() - before;
         ensure!(calls <= 30, "{calls} calls to a store that refuses them");
         house.site.store.faults(|faults| faults.refuse = false);
-        // Entries missing while the store was away do not count as deleted, but once it
-        // is back a change is in force again.
+        // The store counts as unreachable while it refuses calls, but once it accepts
+        // them again, a change is in force again.
         let far = house.site.server(server_settings(2))?;
         house
             .site
