--- a/crates/relay/src/choose.rs
+++ b/crates/relay/src/choose.rs
@@ -1,10 +1,11 @@
-//! Which server gets a request.
+//! Chooses the server for a request.
 //!
-//! Every candidate has an estimated cost in milliseconds: what must be read of
-//! its prompt there, what waits before it, how far it is, how often it failed.
-//! The cheapest gets the request. Boxes agree without talking on where a
-//! subject's prompts are kept: by rendezvous hash of the subject over the
-//! servers, corrected by what this box itself has sent where.
+//! Every candidate has an estimated cost in milliseconds. It covers the tokens that the
+//! server has to prefill, the requests that are queued there, the distance to its hall and
+//! its recent failures. The server with the lowest cost gets the request. Boxes agree
+//! without messages on which servers cache the prompts of a subject: they order the servers
+//! by a rendezvous hash of the subject, and each box adds what it has itself sent to which
+//! server.
 
 mod engine;
 pub mod filter;
@@ -23,105 +24,110 @@
 use engine::{Engines, Group};
 use filter::Filter;
 
-/// Time to another hall and back in ms, before one was measured: a little over a
+/// Round-trip time to another hall in ms before one was measured: a little over a
 /// millisecond each way, as between the halls of one city.
 const OTHER_HALL_MS: f64 = 3.0;
-/// Cost of each token of a stream from another hall that cannot be resumed, in
-/// ms: it is lost when one of the halls is cut off. Without it 1 in 1,000 more
-/// requests were lost on days with one such cut a minute.
-const BREAK_TOKEN_MS: f64 = 0.1;
-/// Cost of a server at which every request failed, in ms, if the others are
-/// well.
+/// Cost of each output token of a non-resumable stream from another hall, in ms: the stream
+/// is lost when one of the halls is partitioned. Without this cost, 1 in 1,000 more
+/// requests were lost on days with one such partition a minute.
+const LOST_TOKEN_MS: f64 = 0.1;
+/// Cost of a server at which every request failed while the other servers are healthy, in
+/// ms.
 const FAILING_MS: f64 = 2_000.0;
-/// Share of failures above the others' mean that is no evidence.
+/// Failure rate above the mean of all servers that is ignored as noise.
 const FAILING_SLACK: f64 = 0.15;
-/// Cost of each request that a server turned away lately, in ms: it would have waited
-/// for a place there, as one past an engine's slots. With two servers of a box's hall
-/// that turn all away and an idle one elsewhere, 22 of 120 requests were served before.
-const TURNED_MS: f64 = 40.0;
-/// Cost of a server in a hall that seems to be cut off, in ms: over that of
-/// reading the longest prompts elsewhere.
-const SILENT_HALL_MS: f64 = 3_000.0;
-/// Cost of a server that is left out for its failures, in ms: taken only when
+/// Cost of each request that a server rejected recently, in ms. A rejected request would
+/// have waited for a slot, as one beyond an engine's slots does. Without this cost, only 22
+/// of 120 requests were served where both servers of a box's hall rejected everything and a
+/// server elsewhere was idle.
+const REJECTED_MS: f64 = 40.0;
+/// Cost of a server in a hall that appears to be partitioned from this box, in ms: more
+/// than prefilling the longest prompts elsewhere.
+const UNRESPONSIVE_HALL_MS: f64 = 3_000.0;
+/// Cost of a server that is ejected because of its failures, in ms: it is chosen only when
 /// there is no other.
-const LEFT_OUT_MS: f64 = 1e6;
-/// Cost of a server that has been tried for this request already.
+const EJECTED_MS: f64 = 1e6;
+/// Cost of a server that was already tried for this request, in ms.
 const TRIED_MS: f64 = 1e7;
-/// Cost of a server that is cold, in ms: it is slow, and what is sent there is
-/// taken off what it bears.
+/// Cost of a cold server, in ms: it is slow, and each request uses up some of the few that
+/// it can take while it is cold.
 const COLD_MS: f64 = 50.0;
-/// Time to an answer of a plain service's server before one is known, in ms.
-const PLAIN_MS: f64 = 60.0;
+/// Response time of a server of a plain service before one is known, in ms.
+const DEFAULT_LATENCY_MS: f64 = 60.0;
 
-/// What is to be placed.
+/// A request to be placed on a server.
 pub struct Criteria<'a> {
-    /// The prompt, at a model engine.
+    /// The prompt, if the service has model engines.
     pub prompt: Option<&'a Prompt>,
-    /// Time in ms to copy a token's memory between engines, where they can.
+    /// Time in ms to copy the KV cache of one token between engines, where they can copy.
     pub copy_ms: Option<f64>,
-    /// Servers that this request was sent to already.
+    /// Servers that this request was already sent to.
     pub tried: &'a [ids::Server],
-    /// The servers that it may not go to.
+    /// Limits the servers that the request may go to.
     pub filter: Filter<'a>,
     /// The hall of this box.
     pub hall: &'a ids::Hall,
-    /// Whether an answer that breaks off midway is lost.
+    /// Whether an answer that is cut off is lost.
     pub not_resumable: bool,
-    /// Most connections of this box to one server.
+    /// Maximum number of connections from this box to one server.
     pub connections: u32,
-    /// The operator's bound on one server's load, in multiples of the mean.
+    /// The operator's bound on the load of one server, in multiples of the mean.
     pub crowd_factor: f64,
 }
 
-/// The server chosen, and why.
+/// The chosen server, and how it was rated.
 pub struct Choice {
     /// The server.
     pub backend: Rc<Backend>,
     /// Its estimated cost in ms.
     pub cost: f64,
-    /// Requests estimated to be at the server.
+    /// Estimated number of requests in flight at the server.
     pub load: f64,
-    /// Tokens of the prompt that it is estimated to read.
+    /// Prompt tokens that the server is expected to prefill.
     pub prefill_tokens: f64,
-    /// Time in which it may read the prompt, if it keeps no part that this box
-    /// has not sent there: so much of its answer's delay is no slowness.
+    /// Time that the server may need to prefill the prompt if it caches only the parts that
+    /// this box has sent there. This much delay before the answer does not count as
+    /// slowness.
     pub prefill_time: Duration,
-    /// Its place in the order of the prompt's subject, if it is among the first.
+    /// The server's rank in the order of the prompt's subject, if it is among the first.
     pub rank: Option<usize>,
-    /// Present when the server is cold: from when on it bears the request. What is
-    /// sent there is counted.
+    /// Set when the server is cold: the time at which it may get the request. The request
+    /// counts towards this box's share.
     pub cold: Option<Instant>,
-    /// The engine from which it is to copy what it does not keep.
+    /// The engine from which the server should copy the parts that it does not cache.
     pub copy_from: Option<Rc<Backend>>,
 }
 
-/// The cheapest of a service's servers; `None` when there is none that may be
-/// asked.
+/// Returns the cheapest server of a service, or `None` if no server may get the request.
 pub fn choose(
     fleet: &Fleet,
     service: &ids::Service,
-    ask: &Criteria<'_>,
+    criteria: &Criteria<'_>,
     index: &Index,
     now: Instant,
 ) -> Option<Choice> {
     let servers = fleet.serving(service);
-    let failing = mean_failing(&servers, now);
-    match ask.prompt {
+    let mean_failures = mean_failure_rate(&servers, now);
+    match criteria.prompt {
         Some(prompt) => {
             let candidate = |backend: &Backend| {
-                !ask.tried.contains(&backend.server.id) && ask.filter.admits(backend, now)
+                !criteria.tried.contains(&backend.server.id) && criteria.filter.admits(backend, now)
             };
-            let places = Locations::new(fleet, service, prompt, index, &candidate, now);
+            let locations = Locations::new(fleet, service, prompt, index, &candidate, now);
             let group = Group {
                 serving: &servers,
                 emptied: &fleet.emptied(service),
             };
-            Engines::new(&group, ask, prompt, &places, failing, now).cheapest()
+            Engines::new(&group, criteria, prompt, &locations, mean_failures, now).cheapest()
         }
         None => {
-            let usual = usual_ms(&servers);
-            let open = servers.iter().filter(|backend| is_open(backend, ask, now));
-            cheapest(open.map(|backend| plain(backend, usual, ask, failing, now)))
+            let median_ms = median_latency_ms(&servers);
+            let open = servers
+                .iter()
+                .filter(|backend| is_open(backend, criteria, now));
+            cheapest(
+                open.map(|backend| rate_plain(backend, median_ms, criteria, mean_failures, now)),
+            )
         }
     }
 }
@@ -130,35 +136,34 @@
     choices.min_by(|a, b| a.cost.total_cmp(&b.cost))
 }
 
-/// Whether a server may get the request, and this box may open one more
-/// connection to it.
-fn is_open(backend: &Backend, ask: &Criteria<'_>, now: Instant) -> bool {
-    backend.in_flight() < ask.connections && ask.filter.admits(backend, now)
+/// Whether a server may get the request and this box may open one more connection to it.
+fn is_open(backend: &Backend, criteria: &Criteria<'_>, now: Instant) -> bool {
+    backend.in_flight() < criteria.connections && criteria.filter.admits(backend, now)
 }
 
-/// The median time to an answer of a plain service's servers, in ms. It is reckoned with
-/// where none is known or the known one is old: a figure of its own would keep requests
-/// from a server that got none, for as long as the others have room.
-fn usual_ms(servers: &[Rc<Backend>]) -> f64 {
+/// The median response time of the servers of a plain service, in ms. It stands in for the
+/// time of a server whose own is unknown or out of date. With a separate default, a server
+/// without requests would get none for as long as the others have room.
+fn median_latency_ms(servers: &[Rc<Backend>]) -> f64 {
     let times = servers.iter().filter_map(|it| it.health.mean_latency_ms());
     let mut times: Vec<f64> = times.collect();
     times.sort_by(f64::total_cmp);
     let middle = times.len().saturating_sub(1) / 2;
-    times.get(middle).copied().unwrap_or(PLAIN_MS)
+    times.get(middle).copied().unwrap_or(DEFAULT_LATENCY_MS)
 }
 
-fn plain(
+fn rate_plain(
     backend: &Rc<Backend>,
-    usual_ms: f64,
-    ask: &Criteria<'_>,
-    failing: f64,
+    median_ms: f64,
+    criteria: &Criteria<'_>,
+    mean_failures: f64,
     now: Instant,
 ) -> Choice {
     let load = f64::from(backend.in_flight());
-    let time = backend.health.expected_latency_ms(usual_ms, now);
-    // Of equal costs, chance decides.
+    let time = backend.health.expected_latency_ms(median_ms, now);
+    // Breaks ties between equal costs at random.
     let jitter = fastrand::f64();
-    let cost = time * (load + 1.0) + jitter + common(backend, ask, failing, now);
+    let cost = time * (load + 1.0) + jitter + common_cost(backend, criteria, mean_failures, now);
     Choice {
         backend: backend.clone(),
         cost,
@@ -166,48 +171,53 @@
         prefill_tokens: 0.0,
         prefill_time: Duration::ZERO,
         rank: None,
-        cold: ask.filter.borne_from(backend, now),
+        cold: criteria.filter.admission_time(backend, now),
         copy_from: None,
     }
 }
 
-/// Mean share of recent failures at the servers of a service: trouble that all
-/// have is no reason to prefer one.
-fn mean_failing(servers: &[Rc<Backend>], now: Instant) -> f64 {
+/// Mean recent failure rate of the servers of a service. Failures that all servers share
+/// are no reason to prefer one of them.
+fn mean_failure_rate(servers: &[Rc<Backend>], now: Instant) -> f64 {
     let rates = servers
         .iter()
         .map(|backend| backend.health.failure_rate(now));
     rates.sum::<f64>() / servers.len().max(1) as f64
 }
 
-/// Costs that hold for every kind of server.
-fn common(backend: &Rc<Backend>, ask: &Criteria<'_>, failing: f64, now: Instant) -> f64 {
-    let excess = backend.health.failure_rate(now) - failing - FAILING_SLACK;
+/// Costs that apply to servers of every kind.
+fn common_cost(
+    backend: &Rc<Backend>,
+    criteria: &Criteria<'_>,
+    mean_failures: f64,
+    now: Instant,
+) -> f64 {
+    let excess = backend.health.failure_rate(now) - mean_failures - FAILING_SLACK;
     let mut cost = FAILING_MS * excess.max(0.0);
-    cost += TURNED_MS * backend.health.recent_rejections(now);
-    if backend.server.hall != *ask.hall {
-        cost += backend.hall.round_trip_ms().unwrap_or(OTHER_HALL_MS) + breaking(ask);
+    cost += REJECTED_MS * backend.health.recent_rejections(now);
+    if backend.server.hall != *criteria.hall {
+        cost += backend.hall.round_trip_ms().unwrap_or(OTHER_HALL_MS) + cutoff_cost(criteria);
     }
-    if let Some(from) = ask.filter.borne_from(backend, now) {
+    if let Some(from) = criteria.filter.admission_time(backend, now) {
         cost += COLD_MS + from.saturating_duration_since(now).as_secs_f64() * 1e3;
     }
     if backend.hall.is_unresponsive(now) {
-        cost += SILENT_HALL_MS;
+        cost += UNRESPONSIVE_HALL_MS;
     }
     if !backend.health.allows(now) {
-        cost += LEFT_OUT_MS;
+        cost += EJECTED_MS;
     }
-    if ask.tried.contains(&backend.server.id) {
+    if criteria.tried.contains(&backend.server.id) {
         cost += TRIED_MS;
     }
     cost
 }
 
-/// What the risk costs that an answer from another hall breaks off, in ms.
-fn breaking(ask: &Criteria<'_>) -> f64 {
+/// Expected cost of an answer from another hall being cut off, in ms.
+fn cutoff_cost(criteria: &Criteria<'_>) -> f64 {
     let tokens = |prompt: &Prompt| prompt.hint.unwrap_or(prompt.output);
-    match ask.prompt {
-        Some(prompt) if ask.not_resumable => BREAK_TOKEN_MS * f64::from(tokens(prompt)),
+    match criteria.prompt {
+        Some(prompt) if criteria.not_resumable => LOST_TOKEN_MS * f64::from(tokens(prompt)),
         _ => 0.0,
     }
 }
--- a/crates/relay/src/choose/engine.rs
+++ b/crates/relay/src/choose/engine.rs
@@ -1,8 +1,8 @@
-//! What a prompt costs at each model engine of a service.
+//! Estimates what a prompt costs at each model engine of a service.
 //!
-//! A cost is an estimate in milliseconds: of reading or copying what the engine
-//! lacks of the prompt, of what waits and runs there, of its load beyond the
-//! operator's bound, and of answers that begin late.
+//! The cost is in milliseconds. It covers prefilling or copying the tokens that the engine
+//! does not cache, the requests that are queued and running there, load beyond the
+//! operator's bound, and slow first tokens.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,99 +10,99 @@
 use tidepier_clock::Instant;
 use tidepier_core::request::Prompt;
 
-use super::{cheapest, common, is_open, weight, Choice, Criteria, LEFT_OUT_MS};
+use super::{cheapest, common_cost, is_open, weight, Choice, Criteria, EJECTED_MS};
 use crate::fleet::Backend;
 use crate::locations::Locations;
 
 /// The engines of a service.
 pub(super) struct Group<'a> {
-    /// Those that take new requests.
+    /// Engines that take new requests.
     pub(super) serving: &'a [Rc<Backend>],
-    /// Those that would if their halls were not to be empty. They hold little or
-    /// nothing, and count in the mean that the operator's bound is on.
+    /// Engines that would take new requests if their halls were not being emptied. They
+    /// have little or no load, and count in the mean that the operator's bound refers to.
     pub(super) emptied: &'a [Rc<Backend>],
 }
 
-/// The engines of a service as one prompt finds them.
+/// The engines of a service, rated for one prompt.
 pub(super) struct Engines<'a> {
     servers: &'a [Rc<Backend>],
-    ask: &'a Criteria<'a>,
-    places: &'a Locations<'a>,
+    criteria: &'a Criteria<'a>,
+    locations: &'a Locations<'a>,
     /// Tokens of the prompt that no other request shares.
-    own: f64,
+    own_tokens: f64,
     /// Load of each server.
     loads: Vec<f64>,
-    crowd: Crowd,
-    /// Usual time to an answer's beginning, in ms, if one is known.
-    usual_ms: Option<f64>,
-    /// Mean share of failures at these servers.
-    failing: f64,
-    /// Places of some engines by chance.
+    load_bound: LoadBound,
+    /// Median time to first token of these servers, in ms, if one is known.
+    median_ms: Option<f64>,
+    /// Mean failure rate of these servers.
+    mean_failures: f64,
+    /// Indices of randomly sampled engines.
     sample: Vec<usize>,
     now: Instant,
 }
 
-/// Engines that are compared by chance.
-const SAMPLE: usize = 2;
+/// Number of randomly sampled engines that are compared.
+const SAMPLE_SIZE: usize = 2;
 
-/// Places of some engines that may be used.
-fn sample(servers: &[Rc<Backend>], ask: &Criteria<'_>, now: Instant) -> Vec<usize> {
-    let mut places = Vec::new();
-    for _ in 0..4 * SAMPLE {
-        let place = fastrand::usize(0..servers.len().max(1));
-        let Some(backend) = servers.get(place) else {
+/// Returns the indices of some usable engines, sampled at random.
+fn sample(servers: &[Rc<Backend>], criteria: &Criteria<'_>, now: Instant) -> Vec<usize> {
+    let mut indices = Vec::new();
+    for _ in 0..4 * SAMPLE_SIZE {
+        let index = fastrand::usize(0..servers.len().max(1));
+        let Some(backend) = servers.get(index) else {
             break;
         };
-        let usable = backend.is_healthy(now) && is_open(backend, ask, now);
-        if usable && !places.contains(&place) {
-            places.push(place);
+        let usable = backend.is_healthy(now) && is_open(backend, criteria, now);
+        if usable && !indices.contains(&index) {
+            indices.push(index);
         }
-        if places.len() == SAMPLE {
+        if indices.len() == SAMPLE_SIZE {
             break;
         }
     }
-    places
+    indices
 }
 
 impl<'a> Engines<'a> {
     pub(super) fn new(
         group: &Group<'a>,
-        ask: &'a Criteria<'a>,
+        criteria: &'a Criteria<'a>,
         prompt: &Prompt,
-        places: &'a Locations<'a>,
-        failing: f64,
+        locations: &'a Locations<'a>,
+        mean_failures: f64,
         now: Instant,
     ) -> Self {
         let servers = group.serving;
         let (loads, mean) = loads(servers, now);
-        let mean = mean_of_all(mean, group, ask, now);
+        let mean = mean_of_all(mean, group, criteria, now);
         let own = prompt.parts.last().map_or(prompt.input, |part| part.tokens);
         Self {
             servers,
-            ask,
-            places,
-            own: f64::from(own),
+            criteria,
+            locations,
+            own_tokens: f64::from(own),
             loads,
-            crowd: Crowd::new(ask.crowd_factor, mean),
-            usual_ms: usual_time(servers, now),
-            sample: sample(servers, ask, now),
-            failing,
+            load_bound: LoadBound::new(criteria.crowd_factor, mean),
+            median_ms: median_first_token_ms(servers, now),
+            sample: sample(servers, criteria, now),
+            mean_failures,
             now,
         }
     }
 
-    /// The cheapest of the engines that may be asked.
+    /// Returns the cheapest of the engines that may get the request.
     pub(super) fn cheapest(&self) -> Option<Choice> {
-        let good = |choice: &Choice| choice.cost < LEFT_OUT_MS;
-        let looked_at = self.cheapest_of(|place| self.is_looked_at(place));
-        let mut choice = match looked_at.filter(good) {
+        let good = |choice: &Choice| choice.cost < EJECTED_MS;
+        let compared = self.cheapest_of(|index| self.is_compared(index));
+        let mut choice = match compared.filter(good) {
             Some(choice) => choice,
             None => self.cheapest_of(|_| true)?,
         };
-        if self.ask.copy_ms.is_some() {
-            let source = self.places.copy_source(choice.backend.key);
-            // What a request may not leave its regions for is not kept elsewhere.
-            let source = source.filter(|it| self.ask.filter.is_allowed_hall(&it.server.hall));
+        if self.criteria.copy_ms.is_some() {
+            let source = self.locations.copy_source(choice.backend.key);
+            // A request that is restricted to regions has no cached parts outside of them.
+            let source = source.filter(|it| self.criteria.filter.is_allowed_hall(&it.server.hall));
             choice.copy_from = source.cloned();
         }
         Some(choice)
@@ -110,106 +110,108 @@
 
     fn cheapest_of(&self, of: impl Fn(usize) -> bool) -> Option<Choice> {
         let engines = self.servers.iter().zip(&self.loads).enumerate();
-        let engines = engines.filter(|(place, _)| of(*place));
-        let open = engines.filter(|(_, (backend, _))| is_open(backend, self.ask, self.now));
+        let engines = engines.filter(|(index, _)| of(*index));
+        let open = engines.filter(|(_, (backend, _))| is_open(backend, self.criteria, self.now));
         cheapest(open.map(|(_, (backend, load))| self.choice(backend, *load)))
     }
 
-    /// Whether an engine is among those that are compared: those that keep parts of the
-    /// prompt or should, and some others by chance. What boxes know of loads is up to a
-    /// second old; if all of them compared all engines, those that leave a crowded one
-    /// would all go to the same, the one that was idle last.
-    fn is_looked_at(&self, place: usize) -> bool {
-        let key = self.servers[place].key;
-        self.sample.contains(&place) || self.places.rank(key).is_some() || self.places.keeps(key)
+    /// Whether an engine is compared for this prompt: one that caches parts of the prompt,
+    /// one that should by rank, or one of the random sample. The local view of the loads is
+    /// up to a second old. If all boxes compared all engines, those that avoid an engine
+    /// over the load bound would all choose the same one, the engine that was idle last.
+    fn is_compared(&self, index: usize) -> bool {
+        let key = self.servers[index].key;
+        self.sample.contains(&index)
+            || self.locations.rank(key).is_some()
+            || self.locations.caches_any(key)
     }
 
     fn choice(&self, backend: &Rc<Backend>, load: f64) -> Choice {
         let key = backend.key;
-        let lack = self.places.missing_tokens(key);
-        let read_again = 1.0 / weight::READ_TOKENS_PER_MS + weight::READ_AGAIN_MS;
-        let (shared, read) = match self.ask.copy_ms {
+        let missing = self.locations.missing_tokens(key);
+        let prefill_ms = 1.0 / weight::PREFILL_TOKENS_PER_MS + weight::PREFILL_DELAY_MS;
+        let (shared, prefilled) = match self.criteria.copy_ms {
             Some(ms) => (
-                lack.copied * (ms + weight::COPY_MS) + lack.read * read_again,
-                lack.read,
+                missing.copied * (ms + weight::COPY_DELAY_MS) + missing.prefilled * prefill_ms,
+                missing.prefilled,
             ),
-            None => (lack.tokens() * read_again, lack.tokens()),
+            None => (missing.tokens() * prefill_ms, missing.tokens()),
         };
         Choice {
             backend: backend.clone(),
             cost: self.cost(shared, backend, load),
             load,
-            rank: self.places.rank(key),
-            prefill_time: reading_time(self.own + f64::from(lack.unconfirmed)),
-            prefill_tokens: self.own + read,
-            cold: self.ask.filter.borne_from(backend, self.now),
+            rank: self.locations.rank(key),
+            prefill_time: prefill_time(self.own_tokens + f64::from(missing.unconfirmed)),
+            prefill_tokens: self.own_tokens + prefilled,
+            cold: self.criteria.filter.admission_time(backend, self.now),
             copy_from: None,
         }
     }
 
-    /// The whole cost, given that of the prompt's shared parts, in ms.
+    /// Total cost in ms, given the cost of the shared prompt parts.
     fn cost(&self, shared: f64, backend: &Rc<Backend>, load: f64) -> f64 {
         let queued = backend.prefill() as f64;
         let slots = f64::from(backend.slots());
-        // Of equal costs, chance decides.
+        // Breaks ties between equal costs at random.
         let jitter = fastrand::f64();
         shared
-            + (self.own + queued) / weight::READ_TOKENS_PER_MS
+            + (self.own_tokens + queued) / weight::PREFILL_TOKENS_PER_MS
             + weight::RUNNING_MS * load
             + weight::WAITING_MS * (load - slots).max(0.0)
-            + self.crowd.cost(load)
-            + slowness(backend, self.usual_ms, self.now)
+            + self.load_bound.cost(load)
+            + slowness(backend, self.median_ms, self.now)
             + jitter
-            + common(backend, self.ask, self.failing, self.now)
+            + common_cost(backend, self.criteria, self.mean_failures, self.now)
     }
 }
 
-/// What a crowded server costs.
-struct Crowd {
-    /// Load from which a server counts as crowded.
+/// Cost of the load of a server, relative to the bound.
+struct LoadBound {
+    /// Load from which a server is close to the bound and costs more.
     soft: f64,
-    /// Load from which it is at the operator's bound.
+    /// Load at the operator's bound.
     hard: f64,
 }
 
-impl Crowd {
-    /// `factor`: the operator's bound in multiples of the mean load.
+impl LoadBound {
+    /// `factor` is the operator's bound in multiples of the mean load.
     fn new(factor: f64, mean: f64) -> Self {
         Self {
-            soft: weight::BOUND_PART * factor * mean + weight::BOUND_EXTRA,
+            soft: weight::SOFT_BOUND_PART * factor * mean + weight::BOUND_EXTRA,
             hard: factor * mean + weight::BOUND_EXTRA,
         }
     }
 
-    /// The cost at a load, in ms.
+    /// Returns the cost of a load, in ms.
     fn cost(&self, load: f64) -> f64 {
-        weight::EXCESS_MS * (load - self.soft).max(0.0)
-            + weight::BROKEN_MS * (load - self.hard).max(0.0)
+        weight::SOFT_BOUND_MS * (load - self.soft).max(0.0)
+            + weight::HARD_BOUND_MS * (load - self.hard).max(0.0)
     }
 }
 
-/// Time in which an engine reads so many tokens.
-fn reading_time(tokens: f64) -> Duration {
-    Duration::from_secs_f64(tokens / weight::READ_TOKENS_PER_MS / 1e3)
+/// Time in which an engine prefills this many tokens.
+fn prefill_time(tokens: f64) -> Duration {
+    Duration::from_secs_f64(tokens / weight::PREFILL_TOKENS_PER_MS / 1e3)
 }
 
-/// The load of each server, and the mean of those that can be reached. Where
-/// none was reported lately, the mean stands for it.
+/// Returns the load of each server, and the mean over the reachable ones. A server without
+/// a recent report is given the mean.
 fn loads(servers: &[Rc<Backend>], now: Instant) -> (Vec<f64>, f64) {
     let counted = |backend: &Rc<Backend>| {
         backend
-            .total_in_flight(weight::COUNT_AGE, now)
+            .total_in_flight(weight::COUNT_AGE_MAX, now)
             .map(f64::from)
     };
     let reported: Vec<Option<f64>> = servers
         .iter()
-        .map(|backend| backend.load(weight::LOAD_AGE).map(f64::from))
+        .map(|backend| backend.load(weight::LOAD_AGE_MAX).map(f64::from))
         .collect();
-    let reached = servers
+    let reachable = servers
         .iter()
         .zip(&reported)
         .filter(|(backend, _)| backend.is_healthy(now));
-    let known: Vec<f64> = reached.filter_map(|(_, reported)| *reported).collect();
+    let known: Vec<f64> = reachable.filter_map(|(_, reported)| *reported).collect();
     let mean = known.iter().sum::<f64>() / known.len().max(1) as f64;
     let or_mean = |(backend, reported): (&Rc<Backend>, Option<f64>)| {
         let known = reported
@@ -221,18 +223,18 @@
     (servers.iter().zip(reported).map(or_mean).collect(), mean)
 }
 
-/// The mean load of all engines, given that of those whose load is known. Engines of
-/// emptied halls, cold ones, those that rest and those of a release that is on trial
-/// get little, so that nothing is known of many of them; without them the mean is that
-/// of the busy ones alone, half as much again where one hall of three is empty, and
-/// these could go as far over the operator's bound.
-fn mean_of_all(known: f64, group: &Group<'_>, ask: &Criteria<'_>, now: Instant) -> f64 {
+/// The mean load of all engines, given the mean of the engines with a known load. Engines
+/// of emptied halls, cold ones, those that back off and those of a canary release get few
+/// requests, so the load of many of them is unknown. Without them the mean would be that of
+/// the busy engines alone: half as much again where one hall of three is empty. The busy
+/// engines could then exceed the operator's bound by as much.
+fn mean_of_all(known: f64, group: &Group<'_>, criteria: &Criteria<'_>, now: Instant) -> f64 {
     let (cold, busy): (Vec<_>, Vec<_>) = group.serving.iter().partition(|backend| {
-        let aside = backend.is_backing_off(now) || !ask.filter.matches_release(backend);
-        aside || ask.filter.is_cold(backend, now)
+        let unavailable = backend.is_backing_off(now) || !criteria.filter.matches_release(backend);
+        unavailable || criteria.filter.is_cold(backend, now)
     });
     let idle = cold.into_iter().chain(group.emptied);
-    let idle: Vec<f64> = idle.map(|backend| least_load(backend, now)).collect();
+    let idle: Vec<f64> = idle.map(|backend| reported_load(backend, now)).collect();
     if idle.is_empty() {
         return known;
     }
@@ -240,16 +242,15 @@
     all / (busy.len() + idle.len()) as f64
 }
 
-/// The load of an engine of which little is told: what is.
-fn least_load(backend: &Backend, now: Instant) -> f64 {
-    let reported = backend.load(weight::LOAD_AGE);
-    let counted = backend.total_in_flight(weight::COUNT_AGE, now);
+/// The reported load of an engine with few requests; 0 if nothing was reported.
+fn reported_load(backend: &Backend, now: Instant) -> f64 {
+    let reported = backend.load(weight::LOAD_AGE_MAX);
+    let counted = backend.total_in_flight(weight::COUNT_AGE_MAX, now);
     f64::from(reported.max(counted).unwrap_or(0))
 }
 
-/// The median time to an answer's beginning, in ms, of servers that answered
-/// lately.
-fn usual_time(servers: &[Rc<Backend>], now: Instant) -> Option<f64> {
+/// The median time to first token, in ms, of the servers that answered recently.
+fn median_first_token_ms(servers: &[Rc<Backend>], now: Instant) -> Option<f64> {
     let times = servers
         .iter()
         .filter_map(|backend| backend.health.recent_latency_ms(now));
@@ -258,11 +259,11 @@
     times.get(times.len() / 2).copied()
 }
 
-/// What a server's answers have lately taken beyond what is usual, in ms.
-fn slowness(backend: &Rc<Backend>, usual_ms: Option<f64>, now: Instant) -> f64 {
-    let times = backend.health.recent_latency_ms(now).zip(usual_ms);
+/// How far a server's recent time to first token exceeds the usual one, in ms.
+fn slowness(backend: &Rc<Backend>, median_ms: Option<f64>, now: Instant) -> f64 {
+    let times = backend.health.recent_latency_ms(now).zip(median_ms);
     let excess = times.map_or(0.0, |(own, usual)| {
         own - weight::SLOW_FACTOR * usual - weight::SLOW_EXTRA_MS
     });
-    excess.clamp(0.0, weight::SLOW_MOST_MS)
+    excess.clamp(0.0, weight::SLOW_MS_MAX)
 }
--- a/crates/relay/src/choose/filter.rs
+++ b/crates/relay/src/choose/filter.rs
@@ -1,4 +1,4 @@
-//! The servers that a request may not go to, whatever they would cost it.
+//! Rules out servers that a request must not go to, regardless of their cost.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,26 +14,25 @@
 /// The region of each hall.
 pub type Regions = BTreeMap<ids::Hall, ids::Region>;
 
-/// Which servers of a service take a request of this box, as far as their being
-/// cold goes.
+/// Limits the requests that this box sends to the cold servers of a service.
 #[derive(Clone, Copy)]
 pub struct Admission<'a> {
-    /// The bound on each.
+    /// The bound for each server.
     pub limit: Limit,
-    /// The boxes that share it.
+    /// The boxes that share the bound.
     pub roster: &'a Roster,
-    /// How long a request may wait for a cold server to bear it.
+    /// How long a request may wait until a cold server can take it.
     pub max_wait: Duration,
 }
 
 impl Admission<'_> {
-    /// Whether a server is warm, or this box may send it one more request.
+    /// Whether a server is warm, or this box may send it one more request in time.
     pub fn admits(&self, backend: &Backend, now: Instant) -> bool {
         let at = self.next(backend, now);
         at.is_some_and(|at| at <= now + self.max_wait)
     }
 
-    /// When a server may get one more request of this box; `None`: not while it is
+    /// When this box may send a server one more request; `None`: not while the server is
     /// cold.
     pub fn next(&self, backend: &Backend, now: Instant) -> Option<Instant> {
         if !self.is_cold(backend, now) {
@@ -44,22 +43,23 @@
         share.and_then(|share| backend.pace.next(share, now))
     }
 
-    /// Whether a server is cold, by what it told or by what happened to it.
+    /// Whether a server is cold: by its own report, or because it or its hall was
+    /// unreachable recently.
     pub fn is_cold(&self, backend: &Backend, now: Instant) -> bool {
         backend.is_cold(self.limit.time, now)
     }
 }
 
-/// What a request's route and account allow, and what servers bear.
+/// The servers that the request's route, its account and cold servers' limits allow.
 #[derive(Clone, Copy, Default)]
 pub struct Filter<'a> {
-    /// Regions that the request may not leave: its route's and its account's.
+    /// Regions that the request is restricted to, by its route and by its account.
     pub allowed_regions: [Option<&'a AllowedRegions>; 2],
-    /// The region of each hall; a hall that is missing is in none.
+    /// The region of each hall; a hall that is missing here is in no region.
     pub regions: Option<&'a Regions>,
-    /// Present where the service's servers may be cold.
+    /// Set if servers of the service may be cold.
     pub gate: Option<Admission<'a>>,
-    /// Present where the service is moved to another release.
+    /// Set if the service has a rollout.
     pub release_selector: Option<&'a Selector>,
 }
 
@@ -78,7 +78,7 @@
             .is_none_or(|aim| aim.admits(&backend.server))
     }
 
-    /// Whether a hall is in all regions that bind the request.
+    /// Whether a hall is in all regions that the request is restricted to.
     pub fn is_allowed_hall(&self, hall: &ids::Hall) -> bool {
         let mut homes = self.allowed_regions.iter().flatten().peekable();
         if homes.peek().is_none() {
@@ -88,7 +88,7 @@
         region.is_some_and(|region| homes.all(|homes| homes.contains(region)))
     }
 
-    /// Whether a server is warm or bears one more request of this box.
+    /// Whether a server is warm or may get one more request of this box.
     pub fn has_cold_capacity(&self, backend: &Backend, now: Instant) -> bool {
         self.gate.is_none_or(|gate| gate.admits(backend, now))
     }
@@ -98,8 +98,8 @@
         self.gate.is_some_and(|gate| gate.is_cold(backend, now))
     }
 
-    /// From when on a cold server bears the request; `None` for one that is warm.
-    pub fn borne_from(&self, backend: &Backend, now: Instant) -> Option<Instant> {
+    /// When a cold server may get the request; `None` for a warm server.
+    pub fn admission_time(&self, backend: &Backend, now: Instant) -> Option<Instant> {
         let gate = self.gate.filter(|gate| gate.is_cold(backend, now))?;
         gate.next(backend, now)
     }
--- a/crates/relay/src/locations.rs
+++ b/crates/relay/src/locations.rs
@@ -1,9 +1,9 @@
-//! Where the parts of one prompt are kept.
+//! Estimates which engines cache the parts of one prompt.
 //!
-//! What boxes have sent where goes first. Before anything is known of a
-//! subject, boxes agree without talking: its servers are ordered by rendezvous
-//! hash, so that the first one keeps it wherever it is asked for. A server that
-//! is chosen without a prompt's parts copies them from one that keeps them.
+//! What boxes have sent to which engine takes precedence. As long as nothing is known of a
+//! subject, boxes agree without messages: they order its servers by rendezvous hash, so
+//! that the first server caches the subject whichever box places the request. A server that
+//! is chosen without caching the prompt's parts copies them from a server that does.
 
 mod order;
 
@@ -17,64 +17,65 @@
 use crate::traffic::index::Index;
 use order::Order;
 
-/// How likely the server at a rank of a subject's order keeps the subject when
-/// nobody has told that any server does. The later ranks take what the first
-/// has no room for; without a figure of theirs each box would spread that over
-/// servers of its own choice, and each of them would read the subject anew.
-const KEPT_BY_RANK: [f64; 3] = [0.93, 0.5, 0.25];
-/// The same when other servers are known to keep the subject: boxes that leave
-/// a crowded server agree on the next one before they hear of each other.
-const KEPT_UNTOLD: [f64; 3] = [0.5, 0.5, 0.25];
-/// Tokens under which copying a prompt's memory is not worth its set-up.
+/// Probability that the server at a rank of a subject's order caches the subject when no
+/// holder is known. The later ranks take what the first has no room for. If they had no
+/// probability, each box would spread that overflow over servers of its own choice, and
+/// each of these would prefill the subject again.
+const CACHED_BY_RANK: [f64; 3] = [0.93, 0.5, 0.25];
+/// The same when other servers are known to cache the subject: boxes that avoid an
+/// server over the load bound then agree on the next one before they hear of each other's choice.
+const CACHED_BESIDE_HOLDERS: [f64; 3] = [0.5, 0.5, 0.25];
+/// Number of tokens below which copying a KV cache is not worth its set-up time.
 const COPY_TOKENS_MIN: u32 = 200;
 
-/// An engine that is known to keep a prompt's first parts.
+/// An engine that is known to cache the first parts of a prompt.
 struct Source {
     engine: Rc<Backend>,
-    /// So many of them.
+    /// How many of the parts it caches.
     parts: usize,
 }
 
-/// Tokens of a prompt's shared parts that a server is expected to lack.
+/// Tokens of a prompt's shared parts that a server is expected not to cache.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Lack {
-    /// Those that another engine is known to keep, so that they are copied.
+pub struct Missing {
+    /// Tokens that another engine is known to cache, so that they can be copied.
     pub copied: f64,
-    /// Those that the server reads.
-    pub read: f64,
-    /// Those that it may have to read, by all that is known.
+    /// Tokens that the server has to prefill.
+    pub prefilled: f64,
+    /// Tokens that the server may have to prefill in the worst case: it is not known to
+    /// cache them.
     pub unconfirmed: u32,
 }
 
-impl Lack {
-    /// All of them.
+impl Missing {
+    /// All tokens that are expected to be missing.
     pub fn tokens(self) -> f64 {
-        self.copied + self.read
+        self.copied + self.prefilled
     }
 }
 
-/// Where one prompt's parts are kept, as far as this box can tell.
+/// Where the parts of one prompt are cached, in the local view.
 pub struct Locations<'a> {
     prompt: &'a Prompt,
-    /// Servers known to keep each shared part, the one used last first.
-    by_part: Vec<Vec<Key>>,
+    /// Servers known to cache each shared part, the most recently used first.
+    holders_by_part: Vec<Vec<Key>>,
     order: Order,
-    /// The servers that come first for the subject, of those that take requests
-    /// and that this box does not avoid: all boxes that avoid the same ones
-    /// agree on who stands in for them.
+    /// The first servers of the subject's order, among those that take requests and that
+    /// this box does not avoid. Boxes that avoid the same servers agree on the
+    /// replacements.
     first: Vec<Key>,
-    /// How likely each of those keeps the subject if nobody has told.
-    likely: [f64; 3],
+    /// Probability that each of those caches the subject if no holder is known.
+    likelihood: [f64; 3],
     /// The engines that others may copy from, those with the most parts first.
     sources: Vec<Source>,
-    /// How likely a subject without a known keeper was asked for before, so that
-    /// the engine that should keep it does.
-    expected: f64,
+    /// Probability that a subject without a known holder was requested before, so that the
+    /// engine that should cache it does.
+    seen_before: f64,
 }
 
 impl<'a> Locations<'a> {
-    /// Where the parts of a prompt at a service are kept; `candidate` says whether
-    /// the request may go to a server, or go there again.
+    /// Looks up where the parts of a prompt are cached; `candidate` tells whether the
+    /// request may be sent to a server, or sent there again.
     pub fn new(
         fleet: &Fleet,
         service: &ids::Service,
@@ -84,104 +85,109 @@
         now: Instant,
     ) -> Self {
         let holders = prompt.shared().iter().map(|part| index.holders(part, now));
-        let by_part: Vec<Vec<Key>> = holders.collect();
+        let holders_by_part: Vec<Vec<Key>> = holders.collect();
         let order = Order::new(fleet.known(service), prompt, now);
         let first: Vec<Key> = order
             .serving()
             .filter(|backend| candidate(backend))
-            .take(KEPT_BY_RANK.len())
+            .take(CACHED_BY_RANK.len())
             .map(|backend| backend.key)
             .collect();
-        let likely = match by_part.last() {
-            Some(holders) if order.has_any(holders) => KEPT_UNTOLD,
-            _ => KEPT_BY_RANK,
+        let likelihood = match holders_by_part.last() {
+            Some(holders) if order.has_healthy(holders) => CACHED_BESIDE_HOLDERS,
+            _ => CACHED_BY_RANK,
         };
-        let sources = sources(&by_part, &order);
+        let sources = sources(&holders_by_part, &order);
         Self {
             prompt,
-            by_part,
+            holders_by_part,
             order,
             first,
-            likely,
+            likelihood,
             sources,
-            expected: index.coverage.seen_before(),
+            seen_before: index.coverage.seen_before(),
         }
     }
 
-    /// A server's place among those that come first.
+    /// A server's rank among the first of the order.
     pub fn rank(&self, server: Key) -> Option<usize> {
         self.first.iter().position(|first| *first == server)
     }
 
-    /// Shared parts that a server is known to keep: all before the last one
-    /// that was sent there.
-    fn proven(&self, server: Key) -> usize {
+    /// Number of shared parts that a server is known to cache: all up to the last one that
+    /// was sent there.
+    fn cached_parts(&self, server: Key) -> usize {
         let sent = |holders: &Vec<Key>| holders.contains(&server);
-        let last = self.by_part.iter().rposition(sent);
+        let last = self.holders_by_part.iter().rposition(sent);
         last.map_or(0, |last| last + 1)
     }
 
-    /// Whether a server is known to keep any of the prompt's shared parts.
-    pub fn keeps(&self, server: Key) -> bool {
-        self.by_part.iter().any(|holders| holders.contains(&server))
+    /// Whether a server is known to cache any of the prompt's shared parts.
+    pub fn caches_any(&self, server: Key) -> bool {
+        self.holders_by_part
+            .iter()
+            .any(|holders| holders.contains(&server))
     }
 
-    /// Tokens of the prompt's shared parts that a server is expected to lack.
-    pub fn missing_tokens(&self, server: Key) -> Lack {
-        let likely = self.rank(server).map_or(0.0, |rank| self.likely[rank]);
-        let proven = self.proven(server);
-        let kept = self.known_source(server, proven);
-        let kept = kept.map_or(proven, |source| source.parts);
+    /// Tokens of the prompt's shared parts that a server is expected not to cache.
+    pub fn missing_tokens(&self, server: Key) -> Missing {
+        let likelihood = self.rank(server).map_or(0.0, |rank| self.likelihood[rank]);
+        let cached_parts = self.cached_parts(server);
+        let source_parts = self.largest_source(server, cached_parts);
+        let source_parts = source_parts.map_or(cached_parts, |source| source.parts);
         let shared = self.prompt.shared();
-        let (copied, read) = (tokens(&shared[proven..kept]), tokens(&shared[kept..]));
-        let expected = |tokens| (1.0 - likely) * f64::from(tokens);
-        Lack {
+        let (copied, prefilled) = (
+            tokens(&shared[cached_parts..source_parts]),
+            tokens(&shared[source_parts..]),
+        );
+        let expected = |tokens| (1.0 - likelihood) * f64::from(tokens);
+        Missing {
             copied: expected(copied),
-            read: expected(read),
-            unconfirmed: copied + read,
+            prefilled: expected(prefilled),
+            unconfirmed: copied + prefilled,
         }
     }
 
-    /// The engine that is known to keep the most parts, if those are more than
-    /// the first `proven` ones and what follows these is worth a copy.
-    fn known_source(&self, server: Key, proven: usize) -> Option<&Source> {
-        if tokens(&self.prompt.shared()[proven..]) < COPY_TOKENS_MIN {
+    /// The engine that is known to cache the most parts, if it has more than the first
+    /// `proven` ones and the remaining tokens are worth a copy.
+    fn largest_source(&self, server: Key, cached_parts: usize) -> Option<&Source> {
+        if tokens(&self.prompt.shared()[cached_parts..]) < COPY_TOKENS_MIN {
             return None;
         }
         let mut others = self.sources.iter();
         let source = others.find(|source| source.engine.key != server);
-        source.filter(|source| source.parts > proven)
+        source.filter(|source| source.parts > cached_parts)
     }
 
-    /// The engine that a server copies from what it does not keep; `None` when
-    /// it is known to keep all, or that is too little to be copied.
+    /// The engine from which a server should copy the parts that it does not cache; `None`
+    /// if it is known to cache all parts, or if the rest is too small to copy.
     ///
-    /// Where no engine is known to keep all parts, that may be the one that
-    /// should have kept the subject so far: a box of a large fleet hears of few
-    /// placements. What an engine turns out not to keep is not copied from it.
-    /// By the engines' counts, 295 boxes before 240 of them had 12.5 instead of
-    /// 22.4 million tokens read again in 41 s, and copied twice as much.
+    /// Where no engine is known to cache all parts, this may be the engine that should have
+    /// cached the subject so far, as a box of a large fleet hears of only a few placements.
+    /// Parts that this engine turns out not to cache are not copied. By the engines'
+    /// counts, this reduced the tokens that 295 boxes before 240 engines caused to be
+    /// prefilled again from 22.4 to 12.5 million in 41 s, and doubled the copied ones.
     pub fn copy_source(&self, server: Key) -> Option<&Rc<Backend>> {
         let shared = self.prompt.shared();
-        let proven = self.proven(server);
-        let lacking = tokens(&shared[proven..]);
-        let known = self.known_source(server, proven);
-        let copied = known.map_or(0, |source| tokens(&shared[proven..source.parts]));
+        let cached_parts = self.cached_parts(server);
+        let lacking = tokens(&shared[cached_parts..]);
+        let known = self.largest_source(server, cached_parts);
+        let copied = known.map_or(0, |source| tokens(&shared[cached_parts..source.parts]));
         let known = known.map(|source| &source.engine);
-        let by_order = self.expected * f64::from(lacking);
+        let by_order = self.seen_before * f64::from(lacking);
         if by_order <= f64::from(copied.max(COPY_TOKENS_MIN)) {
             return known;
         }
-        self.order.keeper_before(server).or(known)
+        self.order.previous_holder(server).or(known)
     }
 }
 
-/// Engines that others may copy from, those with the most parts first.
-fn sources(by_part: &[Vec<Key>], order: &Order) -> Vec<Source> {
-    let numbered = by_part.iter().enumerate().rev();
+/// Returns the engines that others may copy from, those with the most parts first.
+fn sources(holders_by_part: &[Vec<Key>], order: &Order) -> Vec<Source> {
+    let numbered = holders_by_part.iter().enumerate().rev();
     let holders = numbered.flat_map(|(part, holders)| holders.iter().map(move |key| (part, key)));
     let usable = holders.filter_map(|(part, key)| {
-        let engine = order.lender(*key)?.clone();
+        let engine = order.usable_source(*key)?.clone();
         let parts = part + 1;
         Some(Source { engine, parts })
     });
--- a/crates/relay/tests/relay/choose.rs
+++ b/crates/relay/tests/relay/choose.rs
@@ -1,4 +1,4 @@
-//! Which server a box picks for one request.
+//! Which server a box chooses for one request.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -18,20 +18,22 @@
 use crate::choice_harness::{id, prompt, server, ChoiceHarness, LARGE, SMALL};
 use crate::harness::{ms, run, Result};
 
-/// Servers that may read one subject while nobody has much to do.
+/// Maximum number of servers that may prefill one subject while there is little load.
 const KEEPERS_MAX: usize = 2;
 
 #[test]
-fn few_servers_read_one_subject_without_load() -> Result {
+fn few_servers_prefill_one_subject_without_load() -> Result {
     for tokens in [LARGE, SMALL] {
-        let boxes: Result<Vec<ChoiceHarness>> = (0..6)
+        let harnesses: Result<Vec<ChoiceHarness>> = (0..6)
             .map(|_| ChoiceHarness::new("hall-1", 0..12))
             .collect();
-        let boxes = boxes?;
+        let harnesses = harnesses?;
         let mut readers: HashMap<u64, HashSet<ids::Server>> = HashMap::new();
         for _ in 0..5 {
-            for (subject, desk) in (0..40).flat_map(|n| boxes.iter().map(move |desk| (n, desk))) {
-                let chosen = desk.send(&prompt(subject, tokens))?;
+            for (subject, harness) in
+                (0..40).flat_map(|n| harnesses.iter().map(move |harness| (n, harness)))
+            {
+                let chosen = harness.send(&prompt(subject, tokens))?;
                 let all = readers.entry(subject).or_default();
                 all.insert(chosen.server.id.clone());
             }
@@ -44,109 +46,120 @@
 }
 
 #[test]
-fn a_crowded_server_is_passed_over() -> Result {
-    let desk = ChoiceHarness::new("hall-1", 0..4)?;
+fn a_server_over_the_bound_is_avoided() -> Result {
+    let harness = ChoiceHarness::new("hall-1", 0..4)?;
     let prompt = prompt(3, SMALL);
-    let first = desk.first(&prompt)?;
-    let calm = desk.choose(Some(&prompt), &[])?;
+    let first = harness.first(&prompt)?;
+    let unloaded = harness.choose(Some(&prompt), &[])?;
     ensure!(
-        calm.backend.server.id == first,
+        unloaded.backend.server.id == first,
         "{}",
-        calm.backend.server.id
+        unloaded.backend.server.id
     );
-    ensure!(calm.rank == Some(0), "{:?}", calm.rank);
-    // As many everywhere: no reason to move.
-    let ids = desk.fleet.ids();
-    let even: Result<Vec<_>> = ids.iter().map(|id| desk.load(id, 6)).collect();
+    ensure!(unloaded.rank == Some(0), "{:?}", unloaded.rank);
+    // Equal load everywhere is no reason to move.
+    let ids = harness.fleet.ids();
+    let even: Result<Vec<_>> = ids.iter().map(|id| harness.load(id, 6)).collect();
     let even = even?;
-    let choice = desk.choose(Some(&prompt), &[])?;
+    let choice = harness.choose(Some(&prompt), &[])?;
     ensure!(choice.backend.server.id == first, "moved by an even load");
     ensure!(choice.load == 6.0, "{}", choice.load);
     drop(even);
-    // All of them here: the bound moves it.
-    let crowd = desk.load(&first, 14)?;
+    // The load of this box alone exceeds the bound here, so the request moves.
+    let above_bound = harness.load(&first, 14)?;
     for _ in 0..20 {
-        let choice = desk.choose(Some(&prompt), &[])?;
-        ensure!(choice.backend.server.id != first, "chosen over the bound");
+        let choice = harness.choose(Some(&prompt), &[])?;
+        ensure!(choice.backend.server.id != first, "chosen above the bound");
     }
-    drop(crowd);
-    // So does a load that the server tells, among others that tell theirs.
-    let told = |running| Load {
+    drop(above_bound);
+    // So it does for a load that the server reports, among other reported loads.
+    let reported = |running| Load {
         running,
         waiting: 0,
         slots: 16,
     };
-    for id in desk.fleet.ids() {
+    for id in harness.fleet.ids() {
         let running = if id == first { 14 } else { 2 };
-        desk.backend(&id)?
-            .record_load(told(running), Instant::now());
+        harness
+            .backend(&id)?
+            .record_load(reported(running), Instant::now());
     }
-    let choice = desk.choose(Some(&prompt), &[])?;
-    ensure!(choice.backend.server.id != first, "chosen over a told load");
+    let choice = harness.choose(Some(&prompt), &[])?;
+    ensure!(
+        choice.backend.server.id != first,
+        "chosen despite its reported load"
+    );
     ensure!(choice.load == 2.0, "{}", choice.load);
     Ok(())
 }
 
 #[test]
-fn a_server_that_is_crowded_by_other_boxes_is_passed_over() -> Result {
-    let desk = ChoiceHarness::new("hall-1", 0..4)?;
+fn a_server_with_many_requests_of_other_boxes_is_avoided() -> Result {
+    let harness = ChoiceHarness::new("hall-1", 0..4)?;
     let prompt = prompt(3, SMALL);
-    let first = desk.first(&prompt)?;
-    let server = desk.backend(&first)?.key;
-    desk.fleet
+    let first = harness.first(&prompt)?;
+    let server = harness.backend(&first)?.key;
+    harness
+        .fleet
         .set_peer_in_flight(&HashMap::from([(server, 6)]), 2, Instant::now());
-    let choice = desk.choose(Some(&prompt), &[])?;
-    ensure!(choice.backend.server.id != first, "chosen over the count");
-    // What the others have under way is over.
-    desk.fleet
+    let choice = harness.choose(Some(&prompt), &[])?;
+    ensure!(
+        choice.backend.server.id != first,
+        "chosen despite the other boxes' requests"
+    );
+    // The requests of the other boxes have ended.
+    harness
+        .fleet
         .set_peer_in_flight(&HashMap::new(), 2, Instant::now());
-    let choice = desk.choose(Some(&prompt), &[])?;
+    let choice = harness.choose(Some(&prompt), &[])?;
     ensure!(choice.backend.server.id == first, "an old count moved it");
     Ok(())
 }
 
 #[test]
-fn what_came_here_since_the_others_told_has_come_to_them_too() -> Result {
-    let desk = ChoiceHarness::new("hall-1", 0..4)?;
-    let first = desk.first(&prompt(3, SMALL))?;
-    let backend = desk.backend(&first)?;
+fn requests_since_the_last_report_are_assumed_at_other_boxes_too() -> Result {
+    let harness = ChoiceHarness::new("hall-1", 0..4)?;
+    let first = harness.first(&prompt(3, SMALL))?;
+    let backend = harness.backend(&first)?;
     let counted = || backend.total_in_flight(ms(1_500), Instant::now());
-    let _before = desk.load(&first, 2)?;
-    let told = HashMap::from([(backend.key, 3)]);
-    desk.fleet.set_peer_in_flight(&told, 4, Instant::now());
+    let _before = harness.load(&first, 2)?;
+    let reported = HashMap::from([(backend.key, 3)]);
+    harness
+        .fleet
+        .set_peer_in_flight(&reported, 4, Instant::now());
     ensure!(counted() == Some(5), "{:?}", counted());
-    // One may be chance.
-    let _one = desk.load(&first, 1)?;
+    // A single request may be chance.
+    let _one = harness.load(&first, 1)?;
     ensure!(counted() == Some(6), "{:?}", counted());
-    let more = desk.load(&first, 2)?;
+    let more = harness.load(&first, 2)?;
     ensure!(counted() == Some(3 + 5 + 4 * 2), "{:?}", counted());
-    // What ended here says nothing of the others.
+    // The end of requests of this box says nothing about the other boxes.
     drop(more);
     ensure!(counted() == Some(6), "{:?}", counted());
     Ok(())
 }
 
 #[test]
-fn a_server_that_told_no_load_counts_as_the_mean() -> Result {
-    let desk = ChoiceHarness::new("hall-1", 0..4)?;
+fn a_server_without_a_reported_load_counts_as_the_mean() -> Result {
+    let harness = ChoiceHarness::new("hall-1", 0..4)?;
     let prompt = prompt(3, SMALL);
-    let first = desk.first(&prompt)?;
-    for id in desk.fleet.ids().iter().filter(|id| **id != first) {
+    let first = harness.first(&prompt)?;
+    for id in harness.fleet.ids().iter().filter(|id| **id != first) {
         let load = Load {
             running: 6,
             waiting: 0,
             slots: 16,
         };
-        desk.backend(id)?.record_load(load, Instant::now());
+        harness.backend(id)?.record_load(load, Instant::now());
     }
-    let choice = desk.choose(Some(&prompt), &[])?;
+    let choice = harness.choose(Some(&prompt), &[])?;
     ensure!(
         choice.backend.server.id == first,
-        "an untold load looked crowded"
+        "an unreported load counted as high"
     );
     ensure!(
         choice.load == 6.0,
-        "an untold load looked idle: {}",
+        "an unreported load counted as idle: {}",
         choice.load
     );
     Ok(())
@@ -154,33 +167,33 @@
 
 #[test]
 fn the_load_stays_bounded_under_one_hot_subject() -> Result {
-    let desk = ChoiceHarness::new("hall-1", (0..16).filter(|number| number % 2 == 0))?;
+    let harness = ChoiceHarness::new("hall-1", (0..16).filter(|number| number % 2 == 0))?;
     let mut running = Vec::new();
     for _ in 0..80 {
-        let backend = desk.send(&prompt(1, SMALL))?;
+        let backend = harness.send(&prompt(1, SMALL))?;
         running.push(backend.run(0));
-        let loads: Vec<u32> = desk
+        let loads: Vec<u32> = harness
             .fleet
-            .serving(&desk.service)
+            .serving(&harness.service)
             .iter()
             .map(|b| b.in_flight())
             .collect();
         let mean = f64::from(loads.iter().sum::<u32>()) / loads.len() as f64;
         let most = f64::from(loads.iter().max().copied().unwrap_or(0));
-        // The operator's bound on skew: twice the mean and three.
+        // The operator's bound on skew: twice the mean plus three.
         ensure!(most <= 2.0 * mean + 3.0, "{loads:?}");
     }
     Ok(())
 }
 
 #[test]
-fn a_server_fails_by_comparison_with_the_others() -> Result {
-    let desk = ChoiceHarness::new("hall-1", 0..4)?;
+fn failures_count_by_comparison_with_the_other_servers() -> Result {
+    let harness = ChoiceHarness::new("hall-1", 0..4)?;
     let prompt = prompt(3, SMALL);
-    let first = desk.first(&prompt)?;
+    let first = harness.first(&prompt)?;
     let fail = |id: &ids::Server| -> Result {
-        let health = &desk.backend(id)?.health;
-        // Never three in a row, which would leave it out.
+        let health = &harness.backend(id)?.health;
+        // Never three failures in a row, which would eject the server.
         for _ in 0..12 {
             for outcome in [Outcome::Errored, Outcome::Errored, Outcome::Succeeded] {
                 health.record(outcome, Instant::now());
@@ -190,23 +203,23 @@
     };
     fail(&first)?;
     ensure!(
-        desk.backend(&first)?.health.allows(Instant::now()),
-        "left out"
+        harness.backend(&first)?.health.allows(Instant::now()),
+        "ejected"
     );
-    let choice = desk.choose(Some(&prompt), &[])?;
+    let choice = harness.choose(Some(&prompt), &[])?;
     ensure!(
         choice.backend.server.id != first,
         "chosen though it alone fails"
     );
-    let plain = desk.choose(None, &[])?;
+    let plain = harness.choose(None, &[])?;
     ensure!(
         plain.backend.server.id != first,
         "chosen though it alone fails"
     );
-    for id in desk.fleet.ids().iter().filter(|id| **id != first) {
+    for id in harness.fleet.ids().iter().filter(|id| **id != first) {
         fail(id)?;
     }
-    let choice = desk.choose(Some(&prompt), &[])?;
+    let choice = harness.choose(Some(&prompt), &[])?;
     ensure!(
         choice.backend.server.id == first,
         "moved though all fail alike"
@@ -215,58 +228,56 @@
 }
 
 #[test]
-fn a_server_that_is_left_out_is_taken_only_without_others() -> Result {
-    let desk = ChoiceHarness::new("hall-1", 0..4)?;
+fn an_ejected_server_is_chosen_only_without_others() -> Result {
+    let harness = ChoiceHarness::new("hall-1", 0..4)?;
     let prompt = prompt(3, SMALL);
-    let first = desk.first(&prompt)?;
-    let leave_out = |id: &ids::Server| -> Result {
+    let first = harness.first(&prompt)?;
+    let eject = |id: &ids::Server| -> Result {
         for _ in 0..3 {
-            desk.backend(id)?
+            harness
+                .backend(id)?
                 .health
                 .record(Outcome::Errored, Instant::now());
         }
         Ok(())
     };
-    leave_out(&first)?;
-    // However crowded the others are.
-    let others: Vec<_> = desk
+    eject(&first)?;
+    // However loaded the others are.
+    let others: Vec<_> = harness
         .fleet
         .ids()
         .into_iter()
         .filter(|id| *id != first)
         .collect();
-    let crowds: Result<Vec<_>> = others.iter().map(|id| desk.load(id, 60)).collect();
-    let crowds = crowds?;
+    let loads_of_others: Result<Vec<_>> = others.iter().map(|id| harness.load(id, 60)).collect();
+    let loads_of_others = loads_of_others?;
     for prompt in [Some(&prompt), None] {
-        let choice = desk.choose(prompt, &[])?;
-        ensure!(
-            choice.backend.server.id != first,
-            "a server that is left out"
-        );
+        let choice = harness.choose(prompt, &[])?;
+        ensure!(choice.backend.server.id != first, "an ejected server");
     }
-    drop(crowds);
-    // Of two that are left out or were tried, the one not tried yet.
+    drop(loads_of_others);
+    // Among ejected and tried servers, the one that was not tried yet is chosen.
     for id in &others {
-        leave_out(id)?;
+        eject(id)?;
     }
     let tried = &others[..];
     for prompt in [Some(&prompt), None] {
-        let choice = desk.choose(prompt, tried)?;
-        ensure!(choice.backend.server.id == first, "one that was tried");
+        let choice = harness.choose(prompt, tried)?;
+        ensure!(choice.backend.server.id == first, "a server that was tried");
     }
-    // With nothing else, one that was tried.
+    // Without any other, a server that was tried is chosen.
     for id in &others {
-        desk.drain(id)?;
+        harness.drain(id)?;
     }
-    let choice = desk.choose(Some(&prompt), std::slice::from_ref(&first))?;
+    let choice = harness.choose(Some(&prompt), std::slice::from_ref(&first))?;
     ensure!(
         choice.backend.server.id == first,
         "{}",
         choice.backend.server.id
     );
-    desk.drain(&first)?;
+    harness.drain(&first)?;
     ensure!(
-        desk.choose(Some(&prompt), &[]).is_err(),
+        harness.choose(Some(&prompt), &[]).is_err(),
         "chose a leaving server"
     );
     Ok(())
@@ -274,70 +285,76 @@
 
 #[test]
 fn no_server_gets_more_connections_than_allowed() -> Result {
-    let desk = ChoiceHarness::new("hall-1", 0..2)?;
+    let harness = ChoiceHarness::new("hall-1", 0..2)?;
     let prompt = prompt(3, SMALL);
-    let ask = |connections| Criteria {
+    let criteria = |connections| Criteria {
         prompt: Some(&prompt),
         copy_ms: None,
         tried: &[],
         filter: Filter::default(),
-        hall: &desk.hall,
+        hall: &harness.hall,
         not_resumable: false,
         connections,
         crowd_factor: 2.0,
     };
     let pick = |connections| {
         let now = Instant::now();
-        let ask = ask(connections);
-        choose::choose(&desk.fleet, &desk.service, &ask, &desk.index, now)
+        let criteria = criteria(connections);
+        choose::choose(
+            &harness.fleet,
+            &harness.service,
+            &criteria,
+            &harness.index,
+            now,
+        )
     };
-    let first = desk.first(&prompt)?;
-    let _running = desk.load(&first, 2)?;
+    let first = harness.first(&prompt)?;
+    let _running = harness.load(&first, 2)?;
     let other = pick(2).ok_or_else(|| eyre!("none chosen"))?;
     ensure!(other.backend.server.id != first, "more than allowed");
-    let _others = desk.load(&other.backend.server.id, 2)?;
+    let _others = harness.load(&other.backend.server.id, 2)?;
     ensure!(pick(2).is_none(), "more than allowed");
     ensure!(pick(3).is_some(), "fewer than allowed");
     Ok(())
 }
 
 #[test]
-fn the_own_hall_goes_first_where_nothing_is_kept() -> Result {
+fn the_own_hall_is_preferred_where_nothing_is_cached() -> Result {
     run(async |_| {
-        let desk = ChoiceHarness::new("hall-2", 0..8)?;
+        let harness = ChoiceHarness::new("hall-2", 0..8)?;
         for _ in 0..20 {
-            let chosen = desk.choose(None, &[])?.backend;
-            ensure!(chosen.server.hall == desk.hall, "{}", chosen.server.id);
+            let chosen = harness.choose(None, &[])?.backend;
+            ensure!(chosen.server.hall == harness.hall, "{}", chosen.server.id);
             Timer::after(ms(1)).await;
         }
         Ok(())
     })
 }
 
-/// The servers of an emptied hall, and cold ones, count in the mean that no server
-/// may be far above. Without them the mean here is twice as high, and a subject stays
-/// at a server that holds more than twice the mean of all and three.
+/// Servers of an emptied hall and cold servers count in the mean that the load bound refers
+/// to. Without them the mean is twice as high here, and a subject would stay at a server
+/// that holds more than twice the mean of all servers plus three.
 #[test]
-fn servers_that_get_little_count_in_the_mean() -> Result {
+fn servers_with_few_requests_count_in_the_mean() -> Result {
     for emptied in [true, false] {
-        let desk = ChoiceHarness::new("hall-1", 0..8)?;
+        let harness = ChoiceHarness::new("hall-1", 0..8)?;
         let far: ids::Hall = id("hall-2")?;
         let now = Instant::now();
         if emptied {
-            desk.fleet.set_emptied(&[far.clone()].into(), now);
+            harness.fleet.set_emptied(&[far.clone()].into(), now);
         }
-        // Of a subject that a server of this hall comes first for.
+        // A subject for which a server outside of the emptied hall ranks first.
         let subjects = (0..100).map(|subject| prompt(subject, SMALL));
         let mut found = None;
         for prompt in subjects {
-            let first = desk.backend(&desk.first(&prompt)?)?;
+            let first = harness.backend(&harness.first(&prompt)?)?;
             found = (first.server.hall != far)
                 .then_some((prompt, first))
                 .or(found);
         }
         let (prompt, first) = found.ok_or_else(|| eyre!("no such subject"))?;
         for number in 0..8 {
-            let backend = desk.backend(&id(&format!("i-{number}"))?)?;
+            let backend = harness.backend(&id(&format!("i-{number}"))?)?;
             let running = match backend.server.hall == far {
                 true => 0,
                 false if backend.key == first.key => 14,
@@ -360,7 +377,7 @@
             for number in [1, 3, 5, 7] {
                 let mut colder = server(number, State::Ready)?;
                 colder.cold = cold.time;
-                desk.fleet.announce(colder, now);
+                harness.fleet.announce(colder, now);
             }
         }
         let roster = Roster::default();
@@ -373,8 +390,11 @@
             gate: Some(gate),
             ..Filter::default()
         };
-        let chosen = desk.choose_within(&prompt, filter)?.backend;
-        ensure!(chosen.key != first.key, "crowded, emptied: {emptied}");
+        let chosen = harness.choose_within(&prompt, filter)?.backend;
+        ensure!(
+            chosen.key != first.key,
+            "over the bound, emptied: {emptied}"
+        );
         ensure!(chosen.server.hall != far, "to {far}, emptied: {emptied}");
     }
     Ok(())
--- a/crates/relay/tests/relay/spread.rs
+++ b/crates/relay/tests/relay/spread.rs
@@ -1,13 +1,14 @@
-//! How many boxes that decide alone spread requests over many model engines, all in
-//! memory and in steps of time.
+//! How many boxes, each deciding on its own, spread requests over many model engines,
+//! simulated in memory.
 //!
-//! Pattern: a fleet begins before engines that keep nothing. What a box knows of the others' requests is up to a second old. An engine that
-//! was idle last is the cheapest by what all boxes know; while all of them compared all
-//! engines, each box that left a crowded one went there, and it had 30 requests where
-//! the mean had 9, in every round another one.
+//! This guards against all boxes choosing the same engine. A fleet starts before engines
+//! that cache nothing, and each box's view of the other boxes' requests is up to a second
+//! old. In this view the engine that was idle last is the cheapest for all boxes. While
+//! boxes compared all engines, every box that avoided a loaded engine chose that one. It
+//! then had 30 requests where the mean was 9, and another engine followed in every round.
 //!
-//! What is asked is the operator's bound: in calm, no more than 3 in 100 requests reach
-//! an engine that holds over twice the mean and three more.
+//! The tests check the operator's bound: in normal operation, no more than 3 in 100
+//! requests may reach an engine that holds more than twice the mean plus three.
 
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 use std::time::Duration;
@@ -27,35 +28,35 @@
 
 /// Requests a second for each engine.
 const RATE: f64 = 7.0;
-/// Time of a request at an engine that has nothing else, and what each other request
-/// there adds to it.
+/// Duration of a request at an otherwise idle engine, and what each other request there
+/// adds to it.
 const RUN_TIME: Duration = Duration::from_millis(700);
 const RUN_MORE: Duration = Duration::from_millis(30);
-/// How long it is played; the first second is not judged.
+/// Simulated time; the first second is not judged.
 const TIME: Duration = Duration::from_secs(6);
-/// Time between two messages of counts to a box.
-const TELL_TIME: Duration = Duration::from_millis(400);
-/// Age of what they say, in messages: over two hubs.
-const TELL_AGE: usize = 2;
-/// Most counts in one message.
+/// Interval between two messages with counts to a box.
+const REPORT_INTERVAL: Duration = Duration::from_millis(400);
+/// Age of the counts, in messages: they pass two hubs.
+const REPORT_AGE: usize = 2;
+/// Maximum number of counts in one message.
 const COUNTS: usize = 48;
-/// One request in so many is about the hot subject, where there is one.
+/// One in this many requests is about the hot subject, if there is one.
 const HOT_EACH: u64 = 7;
 /// Tokens of a subject.
 const TOKENS: u32 = 6_000;
 
-struct Desk {
+struct SimBox {
     fleet: Fleet,
     index: Index,
-    /// What was told to it, so that changes are told alone.
-    told: Baseline,
-    heard: Totals,
+    /// The counts sent to this box so far, so that only changes are sent.
+    sent: Baseline,
+    received: Totals,
 }
 
 /// A request that runs; the first one to end is the greatest.
 struct Run {
     end: Instant,
-    desk: usize,
+    sim_box: usize,
     engine: usize,
     running: InFlight,
 }
@@ -94,24 +95,24 @@
     })
 }
 
-fn desk(engines: usize, now: Instant) -> Result<Desk> {
-    let desk = Desk {
+fn new_sim_box(engines: usize, now: Instant) -> Result<SimBox> {
+    let sim_box = SimBox {
         fleet: Fleet::default(),
         index: Index::default(),
-        told: Baseline::default(),
-        heard: Totals::default(),
+        sent: Baseline::default(),
+        received: Totals::default(),
     };
     for number in 0..engines {
-        desk.fleet.announce(engine(number)?, now);
+        sim_box.fleet.announce(engine(number)?, now);
     }
-    Ok(desk)
+    Ok(sim_box)
 }
 
-/// Part of the requests that reach an engine over the bound.
+/// Share of the requests that reach an engine over the bound.
 fn exceeding(boxes: usize, engines: usize, hot: bool) -> Result<f64> {
     let start = Instant::now();
-    let desks: Result<Vec<Desk>> = (0..boxes).map(|_| desk(engines, start)).collect();
-    let mut desks = desks?;
+    let sim_boxes: Result<Vec<SimBox>> = (0..boxes).map(|_| new_sim_box(engines, start)).collect();
+    let mut sim_boxes = sim_boxes?;
     let keys: Result<Vec<Key>> = (0..engines).map(|n| Ok(Key::new(&engine(n)?.id))).collect();
     let keys = keys?;
     let places: HashMap<Key, usize> = keys.iter().enumerate().map(|(n, key)| (*key, n)).collect();
@@ -120,14 +121,14 @@
     let mut past: VecDeque<Vec<u32>> = VecDeque::new();
     let mut runs: BinaryHeap<Run> = BinaryHeap::new();
     let count = (RATE * engines as f64 * TIME.as_secs_f64()) as usize;
-    let (mut judged, mut over, mut next_tell) = (0, 0, start);
+    let (mut counted, mut over, mut next_report) = (0, 0, start);
     for number in 0..count {
         let now = start + TIME.mul_f64(number as f64 / count as f64);
         while runs.peek().is_some_and(|run| run.end <= now) {
             let Some(run) = runs.pop() else { break };
             held[run.engine] -= 1;
-            // The answer tells how busy its engine is.
-            if let Some(backend) = desks[run.desk].fleet.get(&engine(run.engine)?.id) {
+            // The answer reports the load of its engine.
+            if let Some(backend) = sim_boxes[run.sim_box].fleet.get(&engine(run.engine)?.id) {
                 let load = Load {
                     running: held[run.engine],
                     waiting: 0,
@@ -137,24 +138,24 @@
             }
             drop(run.running);
         }
-        if now >= next_tell {
-            next_tell += TELL_TIME;
+        if now >= next_report {
+            next_report += REPORT_INTERVAL;
             past.push_back(held.clone());
-            if past.len() > TELL_AGE {
+            if past.len() > REPORT_AGE {
                 let known = past.pop_front().unwrap_or_default();
-                desks
+                sim_boxes
                     .iter_mut()
-                    .for_each(|it| tell(it, &known, &keys, boxes, now));
+                    .for_each(|it| report(it, &known, &keys, boxes, now));
             }
         }
         let at = fastrand::usize(0..boxes);
-        let desk = &desks[at];
+        let sim_box = &sim_boxes[at];
         let subject = match fastrand::u64(0..HOT_EACH) {
             0 if hot => 7_777,
             _ => fastrand::u64(0..10 * engines as u64),
         };
         let prompt = prompt(subject, TOKENS);
-        let ask = Criteria {
+        let criteria = Criteria {
             prompt: Some(&prompt),
             copy_ms: Some(0.002),
             tried: &[],
@@ -164,29 +165,29 @@
             connections: 1_000,
             crowd_factor: 2.0,
         };
-        let choice = choose::choose(&desk.fleet, &service, &ask, &desk.index, now);
+        let choice = choose::choose(&sim_box.fleet, &service, &criteria, &sim_box.index, now);
         let choice = choice.ok_or_else(|| eyre::eyre!("no engine at all"))?;
-        let place = places[&choice.backend.key];
+        let index_of_engine = places[&choice.backend.key];
         let mean = runs.len() as f64 / engines as f64;
         if now > start + Duration::from_secs(1) {
-            judged += 1;
-            over += usize::from(f64::from(held[place]) > 2.0 * mean + 3.0);
+            counted += 1;
+            over += usize::from(f64::from(held[index_of_engine]) > 2.0 * mean + 3.0);
         }
-        desk.index.record_local(&prompt, choice.backend.key, now);
-        held[place] += 1;
+        sim_box.index.record_local(&prompt, choice.backend.key, now);
+        held[index_of_engine] += 1;
         runs.push(Run {
-            end: now + RUN_TIME + RUN_MORE * held[place],
-            desk: at,
-            engine: place,
+            end: now + RUN_TIME + RUN_MORE * held[index_of_engine],
+            sim_box: at,
+            engine: index_of_engine,
             running: choice.backend.run(choice.prefill_tokens as u64),
         });
     }
-    Ok(over as f64 / judged as f64)
+    Ok(over as f64 / counted as f64)
 }
 
-/// Tells a box what all others had under way some time ago.
-fn tell(desk: &mut Desk, held: &[u32], keys: &[Key], boxes: usize, now: Instant) {
-    let own = desk.fleet.running();
+/// Sends a box the counts of all other boxes as of some time ago.
+fn report(sim_box: &mut SimBox, held: &[u32], keys: &[Key], boxes: usize, now: Instant) {
+    let own = sim_box.fleet.running();
     let all = keys.iter().zip(held).map(|(key, held)| {
         let own = own.get(key).copied().unwrap_or(0);
         (*key, held.saturating_sub(own))
@@ -196,10 +197,11 @@
         boxes: others,
         requests: all.filter(|(_, requests)| *requests > 0).collect(),
     };
-    let changes = desk.told.changes(&sum, COUNTS);
-    desk.heard.apply(others, &changes);
-    desk.fleet
-        .set_peer_in_flight(&desk.heard.requests, others, now);
+    let changes = sim_box.sent.changes(&sum, COUNTS);
+    sim_box.received.apply(others, &changes);
+    sim_box
+        .fleet
+        .set_peer_in_flight(&sim_box.received.requests, others, now);
 }
 
 fn within_bound(hot: bool) -> Result {
@@ -212,11 +214,11 @@
 }
 
 #[test]
-fn no_engine_is_crowded_by_boxes_that_all_know_it_idle() -> Result {
+fn no_engine_is_overloaded_by_boxes_that_all_see_it_idle() -> Result {
     within_bound(false)
 }
 
-/// Pattern: one request in seven is about one subject besides.
+/// In addition, one request in seven is about one subject.
 #[test]
 fn no_engine_is_crowded_by_a_hot_subject() -> Result {
     within_bound(true)
