--- a/crates/relay/src/traffic/index.rs
+++ b/crates/relay/src/traffic/index.rs
@@ -1,10 +1,10 @@
-//! Which engines keep which parts of prompts, as far as this box knows.
+//! Which engines cache which parts of prompts, in this box's local view.
 //!
-//! It knows what it sent itself, and what other boxes say that they sent. An
-//! engine that got a part keeps it until its memory gives way; nobody tells
-//! that, so an entry is believed for `KEPT_TIME` after its last use.
+//! The view consists of what this box sent itself and of the placements that other boxes
+//! report. An engine caches a part until it has to evict it. Evictions are not reported, so
+//! an entry is valid for `ENTRY_TTL` after its last use.
 //!
-//! Invariant: a part counts as kept only if all before it in the prompt do.
+//! Invariant: a part counts as cached only if all parts before it in the prompt do.
 
 use std::cell::RefCell;
 use std::num::NonZeroUsize;
@@ -18,22 +18,22 @@
 use super::coverage::Coverage;
 use crate::fleet::Key;
 
-/// Parts remembered, the ones used last: at 20 requests a second here and 80
-/// that are told, those of over a minute.
+/// Capacity of the index in parts, the most recently used ones. At 20 requests a second of
+/// this box and 80 that are reported, these are the parts of more than a minute.
 pub const PARTS_MAX: NonZeroUsize = NonZeroUsize::new(8_192).unwrap();
-/// Time that an engine is trusted to keep a part after its last known use.
-/// Measured engines have room for what they read in four minutes.
-const KEPT_TIME: Duration = Duration::from_secs(60);
-/// Age from which a use is told again, so that others do not forget it.
-const TELL_TIME: Duration = Duration::from_secs(20);
-/// Entries that a box which has just started is sent: 4,096 of some 20 bytes.
-const RECALLED: usize = 4_096;
-/// Engines remembered for one part.
-const HOLDERS: usize = 6;
-
-/// A moment, in tenths of a second since [`KEPT_TIME`] before an index was made,
-/// so that what was used before fits in. An entry takes 12 bytes so, where it
-/// would take 40.
+/// Time for which an engine is assumed to cache a part after its last known use. Measured
+/// engines have room for what they prefill in four minutes.
+const ENTRY_TTL: Duration = Duration::from_secs(60);
+/// Age from which a use is reported again, so that other boxes do not drop it.
+const REPORT_INTERVAL: Duration = Duration::from_secs(20);
+/// Maximum number of entries that are sent to a box after its start: 4,096 of some 20 bytes
+/// each.
+const EXPORTED_MAX: usize = 4_096;
+/// Maximum number of engines remembered for one part.
+const HOLDERS_MAX: usize = 6;
+
+/// A time in tenths of a second since [`ENTRY_TTL`] before the index was created, so that
+/// earlier uses can be represented as well. An entry takes 12 bytes this way instead of 40.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Moment(u32);
 
@@ -46,19 +46,19 @@
 /// An engine that a part was sent to.
 struct Holder {
     server: Key,
-    /// When the part was last used there, as far as is known.
+    /// When the part was last used there, as far as this box knows.
     used: Moment,
-    /// When this was last told to others, or by them.
-    told: Moment,
+    /// When this use was last reported, to other boxes or by them.
+    reported: Moment,
 }
 
 impl Holder {
-    fn is_kept(&self, now: Moment) -> bool {
-        now.since(self.used) < KEPT_TIME
+    fn is_valid(&self, now: Moment) -> bool {
+        now.since(self.used) < ENTRY_TTL
     }
 }
 
-/// One entry, for a box that knows nothing.
+/// One entry of the index, as sent to a box that has just started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, Key, u16)", into = "(u64, Key, u16)")]
 pub struct Entry {
@@ -79,23 +79,23 @@
 }
 
 impl From<Entry> for (u64, Key, u16) {
-    fn from(kept: Entry) -> Self {
-        (kept.part, kept.server, kept.age_s)
+    fn from(entry: Entry) -> Self {
+        (entry.part, entry.server, entry.age_s)
     }
 }
 
-/// The engines that keep each part.
+/// The engines that cache each part.
 pub struct Index {
-    made: Instant,
+    created: Instant,
     parts: RefCell<LruCache<u64, Vec<Holder>>>,
-    /// How much this box hears of what is kept.
+    /// How much of the fleet's placements this box hears of.
     pub coverage: Coverage,
 }
 
 impl Default for Index {
     fn default() -> Self {
         Self {
-            made: Instant::now(),
+            created: Instant::now(),
             parts: RefCell::new(LruCache::new(PARTS_MAX)),
             coverage: Coverage::default(),
         }
@@ -103,8 +103,8 @@
 }
 
 impl Index {
-    /// Records that the shared parts of a prompt were sent to a server. Returns
-    /// whether others should be told of the last of them.
+    /// Records that this box sent the shared parts of a prompt to a server. Returns whether
+    /// the last of them should be reported to other boxes.
     pub fn record_local(&self, prompt: &Prompt, server: Key, now: Instant) -> bool {
         if let Some(subject) = prompt.subject() {
             self.coverage
@@ -115,90 +115,91 @@
         uses.last().unwrap_or(false)
     }
 
-    /// Records that another box says that it sent a part, and so all parts
-    /// before it, to a server. Returns whether that is news.
+    /// Records another box's report that it sent a part, and with it all parts before it,
+    /// to a server. Returns whether this is new.
     pub fn record_remote(&self, part: u64, server: Key, now: Instant) -> bool {
         self.record(part, server, now)
     }
 
-    /// The entries used last, for a box that has just started.
+    /// Returns the most recently used entries, for a box that has just started.
     pub fn export(&self, now: Instant) -> Vec<Entry> {
         let now = self.moment(now);
         let parts = self.parts.borrow();
         let holders = parts
             .iter()
             .flat_map(|(part, holders)| holders.iter().map(move |holder| (*part, holder)));
-        let kept = holders.filter(|(_, holder)| holder.is_kept(now));
-        let rows = kept.map(|(part, holder)| Entry {
+        let entries = holders.filter(|(_, holder)| holder.is_valid(now));
+        let rows = entries.map(|(part, holder)| Entry {
             part,
             server: holder.server,
             age_s: now.since(holder.used).as_secs() as u16,
         });
-        rows.take(RECALLED).collect()
+        rows.take(EXPORTED_MAX).collect()
     }
 
-    /// Takes over what another box knows; what is known here goes before that.
-    pub fn recall(&self, kept: &[Entry], now: Instant) {
+    /// Merges the entries of another box; local entries take precedence.
+    pub fn recall(&self, entries: &[Entry], now: Instant) {
         let now = self.moment(now);
         let mut parts = self.parts.borrow_mut();
-        // The last one of the rows was used longest ago.
-        for row in kept.iter().rev() {
+        // The last row is the least recently used one.
+        for row in entries.iter().rev() {
             let used = Moment(now.0.saturating_sub(10 * u32::from(row.age_s)));
             let holders = parts.get_or_insert_mut(row.part, Vec::new);
             let known = holders.iter().any(|holder| holder.server == row.server);
-            if known || holders.len() == HOLDERS {
+            if known || holders.len() == HOLDERS_MAX {
                 continue;
             }
             let after = holders.partition_point(|holder| holder.used <= used);
             let holder = Holder {
                 server: row.server,
                 used,
-                told: used,
+                reported: used,
             };
             holders.insert(after, holder);
         }
     }
 
     fn moment(&self, at: Instant) -> Moment {
-        let since = at.saturating_duration_since(self.made) + KEPT_TIME;
+        let since = at.saturating_duration_since(self.created) + ENTRY_TTL;
         Moment((since.as_millis() / 100) as u32)
     }
 
-    /// Records a use; returns whether it was not told lately.
+    /// Records a use. Returns whether it should be reported, as it was not reported
+    /// recently.
     fn record(&self, part: u64, server: Key, now: Instant) -> bool {
         let now = self.moment(now);
         let mut parts = self.parts.borrow_mut();
         let holders = parts.get_or_insert_mut(part, Vec::new);
-        holders.retain(|holder| holder.is_kept(now));
+        holders.retain(|holder| holder.is_valid(now));
         let known = holders.iter().position(|holder| holder.server == server);
-        let told = known.map(|at| holders.remove(at).told);
-        let fresh = told.filter(|told| now.since(*told) < TELL_TIME);
-        if holders.len() == HOLDERS {
+        let reported = known.map(|at| holders.remove(at).reported);
+        let fresh = reported.filter(|reported| now.since(*reported) < REPORT_INTERVAL);
+        if holders.len() == HOLDERS_MAX {
             holders.remove(0);
         }
         holders.push(Holder {
             server,
             used: now,
-            told: fresh.unwrap_or(now),
+            reported: fresh.unwrap_or(now),
         });
         fresh.is_none()
     }
 
-    /// The servers that keep a part, the one used last first.
+    /// The servers that cache a part, the most recently used first.
     pub fn holders(&self, part: &Part, now: Instant) -> Vec<Key> {
         let now = self.moment(now);
         let parts = self.parts.borrow();
         let holders = parts.peek(&part.id).into_iter().flatten();
-        let kept = holders.filter(|holder| holder.is_kept(now));
-        kept.map(|holder| holder.server).rev().collect()
+        let entries = holders.filter(|holder| holder.is_valid(now));
+        entries.map(|holder| holder.server).rev().collect()
     }
 
-    /// Parts that are remembered.
+    /// Number of parts in the index.
     pub fn len(&self) -> usize {
         self.parts.borrow().len()
     }
 
-    /// Whether no part is remembered.
+    /// Whether the index has no parts.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/relay/src/traffic/log.rs
+++ b/crates/relay/src/traffic/log.rs
@@ -1,8 +1,8 @@
-//! The placements that other boxes should know of, the newest ones.
+//! The log of the newest placements, for other boxes.
 //!
-//! Each reader of the log has a place in it and gets what came after that. A
-//! reader that is far behind gets the newest rows only: a placement that is not
-//! told costs a copy or a reading, and its next use is told again.
+//! Each reader has a position in the log and gets the rows after it. A reader that is far
+//! behind gets the newest rows only: a placement that is omitted costs one copy or prefill,
+//! and its next use is reported again.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -12,10 +12,10 @@
 
 use crate::fleet::Key;
 
-/// Rows kept. At 80 rows a second, of the last six seconds.
-const ROWS: usize = 512;
+/// Maximum number of rows in the log: those of the last six seconds at 80 rows a second.
+const LOG_ROWS_MAX: usize = 512;
 
-/// A part of a prompt that was sent to a server.
+/// A prompt part that was sent to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, Key)", into = "(u64, Key)")]
 pub struct Placement {
@@ -37,45 +37,45 @@
     }
 }
 
-/// A place in a log.
+/// A position in a log.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Position {
-    /// One life of the log; 0 is no log's.
+    /// Random id of the log, new with each start of its process; 0 is never used.
     life: u64,
-    /// Rows before this place.
+    /// Number of rows before this position.
     rows: u64,
 }
 
-/// What is new to a reader of a log.
+/// The rows that a reader has not got yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Batch {
     /// The newest rows.
     pub rows: Vec<Placement>,
-    /// Rows that were left out for want of room.
+    /// Number of rows omitted for want of room.
     pub omitted: u32,
-    /// The reader's place after all of them.
+    /// The reader's position after all of these rows.
     pub place: Position,
 }
 
-/// Who told of a row.
+/// Where a row or a report came from.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Peer {
-    /// A box that asks this one, by its number here.
+    /// A box that sends requests to this one, by the number that it got here.
     Member(u64),
-    /// The box of this hall that this one asks.
+    /// The hub of this hall, to which this box sends requests.
     Hub,
     /// The hub of another hall.
     Hall(ids::Hall),
 }
 
 impl Peer {
-    /// Whether it asks this box.
+    /// Whether this peer sends requests to this box.
     pub fn is_member(&self) -> bool {
         matches!(self, Self::Member(_))
     }
 }
 
-/// The log of one process.
+/// The placement log of one process.
 pub struct Log {
     life: u64,
     count: Cell<u64>,
@@ -93,17 +93,17 @@
 }
 
 impl Log {
-    /// Appends a row; `from` is who told it, `None` this box.
+    /// Appends a row; `from` is the peer that reported it, `None` for this box.
     pub fn push(&self, row: Placement, from: Option<Peer>) {
         let mut rows = self.rows.borrow_mut();
-        if rows.len() == ROWS {
+        if rows.len() == LOG_ROWS_MAX {
             rows.pop_front();
         }
         rows.push_back((row, from));
         self.count.set(self.count.get() + 1);
     }
 
-    /// The place after all rows.
+    /// The position after all rows.
     fn end(&self) -> Position {
         Position {
             life: self.life,
@@ -111,8 +111,8 @@
         }
     }
 
-    /// The newest rows after `place` from those that are `wanted`, at most
-    /// `most`. Rows that are left out are counted.
+    /// Returns the newest rows after `place` that are `wanted`, at most `most` of them.
+    /// Counts the omitted ones.
     pub fn since(
         &self,
         place: Position,
@@ -122,14 +122,14 @@
         let rows = self.rows.borrow();
         let after = match place.life == self.life {
             true => self.count.get().saturating_sub(place.rows),
-            // A reader that is new here: what is kept may all be news to it.
+            // The position is of another log: all stored rows may be new to this reader.
             false => rows.len() as u64,
         };
-        let missed = after.saturating_sub(rows.len() as u64);
-        let news = rows.iter().rev().take(after as usize);
-        let wanted = news.filter(|(_, from)| wanted(from.as_ref()));
+        let dropped = after.saturating_sub(rows.len() as u64);
+        let unread = rows.iter().rev().take(after as usize);
+        let wanted = unread.filter(|(_, from)| wanted(from.as_ref()));
         let mut newest: Vec<Placement> = wanted.map(|(row, _)| *row).collect();
-        let left_out = missed + newest.len().saturating_sub(most) as u64;
+        let left_out = dropped + newest.len().saturating_sub(most) as u64;
         if left_out > 0 {
             metrics::counter!("tidepier_placements_untold_total").increment(left_out);
         }
--- a/crates/relay/src/traffic/mod.rs
+++ b/crates/relay/src/traffic/mod.rs
@@ -1,15 +1,15 @@
-//! What boxes tell each other of the requests that they place: where parts of
-//! prompts were sent, and how many requests each has under way at each server.
+//! Exchange of request data between boxes: which prompt parts were sent to which server,
+//! and how many requests of each box are in flight at each server.
 //!
-//! In each hall one box, the hub, is asked by the others several times a second
-//! and asks the hubs of the other halls. What is told this way is up to a
-//! second old, may be lost, and is bounded in bytes; it makes decisions better
-//! and nothing depends on it.
+//! In each hall one box is the hub. The other boxes of the hall, its members, send it
+//! requests several times a second, and it sends requests to the hubs of the other halls.
+//! The exchanged data is up to a second old, may be lost, and is bounded in bytes. It
+//! improves placement decisions, and nothing depends on it.
 //!
-//! * [`index`]: which engines keep which parts; [`coverage`]: how much of that
-//!   a box hears.
-//! * [`log`]: placements to be told.
-//! * [`tally`]: counts of requests under way.
+//! * [`index`]: which engines cache which parts; [`coverage`]: how much of that a box hears
+//!   of.
+//! * [`log`]: placements to be reported.
+//! * [`tally`]: counts of requests in flight.
 
 pub mod coverage;
 pub mod index;
@@ -27,32 +27,32 @@
 use log::{Batch, Log, Peer, Placement, Position};
 use tally::{Tally, Totals};
 
-/// Most rows in one message: 1.5 KB, and so 3 KB a second where each box asks
-/// each 0.4 s and all rows are used, which is twice what was measured.
+/// Maximum number of rows in one message. This is 1.5 KB, and so 3 KB a second if each box
+/// sends a request every 0.4 s and all rows are used, which is twice the measured rate.
 pub const ROWS_MAX: usize = 64;
 
-/// How much a box has learned since its start of what engines keep.
+/// How much a box has learned since its start of what the engines cache.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Progress {
-    /// What it has placed itself, and what others told of theirs.
+    /// Its own placements, and those that other boxes reported since.
     #[default]
     Started,
-    /// What the engines of its hall keep, too.
+    /// Also the lists of the engines of its hall.
     Listed,
-    /// All there is to know.
+    /// Everything that can be learned.
     Done,
 }
 
-/// What this box knows of the fleet's requests beyond its own.
+/// What this box knows of the other boxes' requests.
 #[derive(Default)]
 pub struct Traffic {
-    /// Which engines keep which parts.
+    /// Which engines cache which parts.
     pub index: Index,
     log: Log,
-    /// Place in the log up to which the hub of this hall was told.
-    told: Cell<Position>,
+    /// Log position up to which the hub of this hall has all rows.
+    hub_position: Cell<Position>,
     tally: Tally,
-    joined: Cell<u64>,
+    last_member_number: Cell<u64>,
     is_hub: Cell<bool>,
     progress: Cell<Progress>,
 }
@@ -69,17 +69,17 @@
         }
     }
 
-    /// Takes over what a peer told.
+    /// Merges the report of a peer.
     pub fn merge_report(
         &self,
         from: Peer,
         sum: Totals,
         rows: &[Placement],
-        untold: u32,
+        omitted: u32,
         now: Instant,
     ) {
         self.tally.report(from.clone(), sum, now);
-        self.index.coverage.record_message(rows.len(), untold);
+        self.index.coverage.record_message(rows.len(), omitted);
         for row in rows {
             if self.index.record_remote(row.part, row.server, now) {
                 self.log.push(*row, Some(from.clone()));
@@ -87,25 +87,26 @@
         }
     }
 
-    /// Forgets the counts of a peer that no longer reports.
+    /// Drops the counts of a peer that no longer reports.
     pub fn remove_peer(&self, from: &Peer) {
         self.tally.leave(from);
     }
 
-    /// Requests under way at other boxes, without those of `but`.
+    /// Requests in flight from other boxes, without those of the peer `but`.
     pub fn others(&self, but: Option<&Peer>, now: Instant) -> Totals {
         self.tally.others(but, now)
     }
 
-    /// Requests under way at boxes that ask this one.
+    /// Requests in flight from the members, which send requests to this box.
     pub fn members(&self, now: Instant) -> Totals {
         self.tally.members(now)
     }
 
-    /// A number for a box that begins to ask.
+    /// Returns a new number for a box that starts to send requests to this one.
     pub fn next_member_number(&self) -> u64 {
-        self.joined.set(self.joined.get() + 1);
-        self.joined.get()
+        self.last_member_number
+            .set(self.last_member_number.get() + 1);
+        self.last_member_number.get()
     }
 
     /// Whether this box is the hub of its hall.
@@ -118,34 +119,33 @@
         self.is_hub.set(is_hub);
     }
 
-    /// How much of what engines keep was learned after the start.
+    /// How much was learned since the start of what the engines cache.
     pub fn progress(&self) -> Progress {
         self.progress.get()
     }
 
-    /// Records how much of what engines keep was learned after the start.
+    /// Records how much was learned since the start of what the engines cache.
     pub fn set_progress(&self, progress: Progress) {
         self.progress.set(progress);
     }
 
-    /// New rows for a box that asks this one: all that it did not tell itself.
+    /// New rows for a member: all but those that it reported itself.
     pub fn rows_for_member(&self, member: &Peer, place: Position) -> Batch {
         let wanted = |from: Option<&Peer>| from != Some(member);
         self.log.since(place, ROWS_MAX, wanted)
     }
 
-    /// Rows of this box and those that ask it that no hub of this hall has got
-    /// yet.
+    /// Rows of this box and of its members that no hub of this hall has got yet.
     pub fn rows_for_hub(&self) -> Batch {
-        self.rows_of_hall(self.told.get())
+        self.rows_of_hall(self.hub_position.get())
     }
 
-    /// Records that the hub has got all rows before a place.
+    /// Records that the hub has all rows up to a position.
     pub fn set_hub_position(&self, place: Position) {
-        self.told.set(place);
+        self.hub_position.set(place);
     }
 
-    /// New rows of this box and those that ask it, for another hall.
+    /// New rows of this box and of its members, for another hall.
     pub fn rows_of_hall(&self, place: Position) -> Batch {
         let wanted = |from: Option<&Peer>| from.is_none_or(Peer::is_member);
         self.log.since(place, ROWS_MAX, wanted)
--- a/crates/relay/src/traffic/tally.rs
+++ b/crates/relay/src/traffic/tally.rs
@@ -1,11 +1,11 @@
-//! How many requests other boxes have under way at each server.
+//! Counts of the requests that other boxes have in flight at each server.
 //!
-//! A box sees a small part of the requests and hears of a server's load only
-//! with that server's answers, so that boxes that start together send too much
-//! to the same servers. Boxes therefore tell each other their counts; what is
-//! told by one and passed on by another is a sum of several boxes. What a box is
-//! told costs the same at any number of servers: those with the most requests go
-//! first, as they are the ones that others should pass over.
+//! A box sees a small part of all requests, and learns the load of a server only from that
+//! server's answers. Boxes that start together would therefore send too much to the same
+//! servers. So boxes report their counts to each other; a hub passes on the sum of several
+//! boxes' counts. A message has a bounded size at any number of servers: the counts with the
+//! greatest change go first, and so those of servers that fill up, which are the ones to
+//! avoid.
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -18,19 +18,18 @@
 
 use super::log::Peer;
 
-/// Age after which a report no longer counts: several times the time between
-/// two of them.
-const REPORT_AGE: Duration = Duration::from_millis(1_500);
-/// A count is told again when it has changed by more than this part of what
-/// was told: at 100 requests a server that is 6, which is of no consequence.
-const TOLD_PART: u32 = 16;
+/// Age after which a report is ignored: several times the interval between reports.
+const REPORT_AGE_MAX: Duration = Duration::from_millis(1_500);
+/// A count is reported again when it has changed by more than this fraction of the reported
+/// value. At 100 requests a server that is 6, which makes no difference to decisions.
+const CHANGE_DIVISOR: u32 = 16;
 
-/// Requests under way by server, of some boxes together.
+/// Requests in flight by server, summed over some boxes.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Totals {
-    /// How many boxes have been added up.
+    /// Number of boxes in the sum.
     pub boxes: u32,
-    /// Requests by server; servers without any may be missing.
+    /// Requests by server; servers without requests may be missing.
     pub requests: HashMap<Key, u32>,
 }
 
@@ -44,7 +43,7 @@
         }
     }
 
-    /// Takes away what was added before.
+    /// Subtracts counts that were added before.
     fn subtract(&mut self, other: &Totals) {
         self.boxes = self.boxes.saturating_sub(other.boxes);
         for (server, requests) in &other.requests {
@@ -58,7 +57,7 @@
         }
     }
 
-    /// Takes over changes that another box sent.
+    /// Applies the changes that another box sent.
     pub fn apply(&mut self, boxes: u32, changes: &[Count]) {
         self.boxes = boxes;
         for change in changes {
@@ -70,23 +69,24 @@
     }
 }
 
-/// What was told over one connection, so that only changes need be sent.
+/// The counts already sent over one connection, so that only changes are sent.
 #[derive(Debug, Default)]
 pub struct Baseline(HashMap<Key, u32>);
 
 impl Baseline {
-    /// What is to be sent so that the other side knows `sum` well enough: at most
-    /// `most` counts, those of the servers with the most requests, now or by what
-    /// was told. The others follow with later messages.
+    /// Returns the changes to send so that the receiver knows `sum` closely enough, at most
+    /// `most` counts. The servers with the greatest error go first, and among equal errors
+    /// those with the most requests, now or as sent before. The other changes follow in
+    /// later messages.
     pub fn changes(&mut self, sum: &Totals, most: usize) -> Vec<Count> {
-        let gone = self.0.keys().filter(|key| !sum.requests.contains_key(key));
-        let gone = gone.map(|server| (*server, 0));
+        let ended = self.0.keys().filter(|key| !sum.requests.contains_key(key));
+        let ended = ended.map(|server| (*server, 0));
         let now = sum.requests.iter().map(|(server, n)| (*server, *n));
-        let differ = now.chain(gone).filter_map(|(server, requests)| {
-            let told = self.0.get(&server).copied().unwrap_or(0);
-            let error = requests.abs_diff(told);
-            let differs = error > told / TOLD_PART;
-            let weight = (error, told.max(requests));
+        let differ = now.chain(ended).filter_map(|(server, requests)| {
+            let sent = self.0.get(&server).copied().unwrap_or(0);
+            let error = requests.abs_diff(sent);
+            let differs = error > sent / CHANGE_DIVISOR;
+            let weight = (error, sent.max(requests));
             differs.then_some((weight, Count { server, requests }))
         });
         let mut differ: Vec<((u32, u32), Count)> = differ.collect();
@@ -110,23 +110,23 @@
     sum: Totals,
 }
 
-/// What others reported last, and the sum of it.
+/// The last report of each peer, and their sum.
 #[derive(Default)]
 pub struct Tally {
     reports: RefCell<HashMap<Peer, Report>>,
-    /// Kept with each report, since a hub is asked for it 150 times a second.
+    /// Updated with each report, since a hub needs it 150 times a second.
     total: RefCell<Totals>,
 }
 
 impl Tally {
-    /// Takes over a report.
+    /// Stores the report of a peer in place of its last one.
     pub fn report(&self, from: Peer, sum: Totals, at: Instant) {
         self.leave(&from);
         self.total.borrow_mut().add(&sum);
         self.reports.borrow_mut().insert(from, Report { at, sum });
     }
 
-    /// Forgets a peer that no longer reports.
+    /// Drops the report of a peer that no longer reports.
     pub fn leave(&self, from: &Peer) {
         let report = self.reports.borrow_mut().remove(from);
         if let Some(report) = report {
@@ -134,9 +134,9 @@
         }
     }
 
-    /// The sum of all recent reports but that of `but`.
+    /// The sum of all recent reports without that of the peer `but`.
     pub fn others(&self, but: Option<&Peer>, now: Instant) -> Totals {
-        self.forget_old(now);
+        self.drop_expired(now);
         let mut sum = self.total.borrow().clone();
         let reports = self.reports.borrow();
         if let Some(report) = but.and_then(|peer| reports.get(peer)) {
@@ -145,19 +145,20 @@
         sum
     }
 
-    fn forget_old(&self, now: Instant) {
+    fn drop_expired(&self, now: Instant) {
         let reports = self.reports.borrow();
-        let old = reports
+        let expired = reports
             .iter()
-            .filter(|(_, report)| now.duration_since(report.at) >= REPORT_AGE);
-        let old: Vec<Peer> = old.map(|(peer, _)| peer.clone()).collect();
+            .filter(|(_, report)| now.duration_since(report.at) >= REPORT_AGE_MAX);
+        let expired: Vec<Peer> = expired.map(|(peer, _)| peer.clone()).collect();
         drop(reports);
-        old.iter().for_each(|peer| self.leave(peer));
+        expired.iter().for_each(|peer| self.leave(peer));
     }
 
-    /// The sum of the reports of those that ask this box.
+    /// The sum of the reports of the members, which send requests to this box.
+    ///
     pub fn members(&self, now: Instant) -> Totals {
-        self.forget_old(now);
+        self.drop_expired(now);
         let mut sum = Totals::default();
         for (peer, report) in &*self.reports.borrow() {
             if peer.is_member() {
--- a/crates/relay/tests/relay/load.rs
+++ b/crates/relay/tests/relay/load.rs
@@ -1,8 +1,8 @@
-//! How several boxes that decide alone spread requests over model engines, in
-//! calm.
+//! How several boxes, each deciding on its own, spread requests over model engines in
+//! normal operation.
 //!
-//! What counts is what each engine held when a request reached it, against the
-//! mean of all engines at that moment.
+//! The tests compare what each engine held when a request reached it with the mean of all
+//! engines at that moment.
 
 use std::time::{Duration, Instant};
 
@@ -18,41 +18,40 @@
 use crate::box_harness::{self, TestBox};
 use crate::harness::{ensure_served_by, ms, post, run, stream_server_settings, Executor, Result};
 
-/// Engines.
+/// Number of engines.
 const ENGINES: u32 = 8;
 /// Events of an engine's answer.
 const EVENTS: u64 = 10;
-/// Pause between two of them: an answer takes 0.3 s, almost all of it after its
-/// prompt was read.
+/// Pause between two events: an answer takes 0.3 s, almost all of it after its prompt was
+/// prefilled.
 const PAUSE: Duration = Duration::from_millis(30);
-/// Time to read a token: that of measured engines, 40 tokens a ms.
+/// Time to prefill a token: that of measured engines, 40 tokens a ms.
 const READ: Duration = Duration::from_micros(25);
-/// Time between two requests: 27 are under way at once.
+/// Interval between requests: 27 are in flight at once.
 const GAP: Duration = Duration::from_millis(11);
-/// Time for which requests are sent: the rule's window.
+/// Time for which requests are sent: the window of the users' rule.
 const CALM: Duration = Duration::from_secs(5);
-/// Of so many requests, [`HOT`] ask about the same subject.
+/// Out of this many requests, [`HOT`] are about the same subject.
 const ROUND: usize = 10;
 /// See [`ROUND`].
 const HOT: usize = 3;
 /// See [`ROUND`].
 const VERY_HOT: usize = 4;
-/// What the prompts of most requests begin with: an engine without it reads 0.2
-/// s.
+/// First parts of the hot prompts: an engine that does not cache them prefills for 0.2 s.
 const HOT_PARTS: &str = "a1:2500,a2:5500";
-/// Tokens of the part of a prompt that is its request's own.
+/// Tokens of the prompt part that belongs to one request only.
 const OWN_TOKENS: u32 = 100;
-/// The users' bound on an engine's load: this many times the mean.
+/// The users' bound on an engine's load: this many times the mean, ...
 const BOUND_FACTOR: f64 = 2.0;
-/// The users' bound on an engine's load: so many above that.
+/// ... plus this many requests.
 const BOUND_EXTRA: f64 = 3.0;
-/// Requests above the bound that break the rule, if they are also more than
-/// one in [`BROKEN_SHARE`].
+/// Number of requests above the bound that violates the rule, if they are also more than
+/// [`BROKEN_SHARE`] of all.
 const BROKEN_COUNT: usize = 20;
 /// See [`BROKEN_COUNT`]: 3 in 100.
 const BROKEN_SHARE: f64 = 0.03;
-/// A site whose engines can copy prompts from each other, as measured ones do:
-/// 0.007 ms a token.
+/// A site whose engines can copy prompts from each other as fast as measured ones: 0.007 ms
+/// a token.
 pub(crate) fn engines_site() -> Result<Site> {
     let site = box_harness::site_with_keys()?;
     site.configure(|config| {
@@ -74,13 +73,13 @@
     }
 }
 
-/// The call of this number, where so many in a round are about one subject.
+/// The call with this number, with `hot` calls of each round about one subject.
 fn call(number: usize, hot: usize) -> Call {
-    let own = format!("c{number:x}:{OWN_TOKENS}");
+    let own_part = format!("c{number:x}:{OWN_TOKENS}");
     let prompt = if number % ROUND < hot {
-        format!("{HOT_PARTS},{own}")
+        format!("{HOT_PARTS},{own_part}")
     } else {
-        format!("b{number:x}:600,{own}")
+        format!("b{number:x}:600,{own_part}")
     };
     post("/u/x", &format!("{number}")).with(names::PROMPT, &prompt)
 }
@@ -88,9 +87,9 @@
 /// A request that reached an engine.
 struct Arrival {
     run: Run,
-    /// What the engine held then.
+    /// Requests that the engine held at that moment.
     held: usize,
-    /// The mean of all engines then.
+    /// The mean of all engines at that moment.
     mean: f64,
 }
 
@@ -104,12 +103,12 @@
     let runs: Vec<Vec<Run>> = engines.iter().map(Server::runs).collect();
     let held = |runs: &[Run], at: Instant| runs.iter().filter(|run| run.held_at(at)).count();
     let mut arrivals = Vec::new();
-    for own in &runs {
-        for run in own {
+    for engine_runs in &runs {
+        for run in engine_runs {
             let all: usize = runs.iter().map(|runs| held(runs, run.arrived)).sum();
             arrivals.push(Arrival {
                 run: run.clone(),
-                held: held(own, run.arrived),
+                held: held(engine_runs, run.arrived),
                 mean: all as f64 / engines.len() as f64,
             });
         }
@@ -117,14 +116,14 @@
     arrivals
 }
 
-/// Sends requests through all boxes by turns, at a steady pace.
-async fn sent(executor: &Executor, machines: &[TestBox], hot: usize) -> Result<Vec<Answer>> {
+/// Sends requests at a steady rate, to each box in turn.
+async fn sent(executor: &Executor, boxes: &[TestBox], hot: usize) -> Result<Vec<Answer>> {
     let mut calls: Vec<Task<std::io::Result<Answer>>> = Vec::new();
     let start = Instant::now();
     let mut at = start;
     while at < start + CALM {
         let number = calls.len();
-        let front = machines[number % machines.len()].router.client_address();
+        let front = boxes[number % boxes.len()].router.client_address();
         let call = call(number, hot);
         calls.push(executor.spawn(async move { Client::once(front, &call).await }));
         at += GAP;
@@ -144,24 +143,24 @@
         let engines: std::io::Result<Vec<Server>> =
             (1..=ENGINES).map(|n| site.server(engine(n))).collect();
         let engines = engines?;
-        let mut machines = Vec::new();
+        let mut boxes = Vec::new();
         for (name, hall) in [
             ("box-0", "hall-1"),
             ("box-1", "hall-1"),
             ("box-2", "hall-2"),
         ] {
-            machines.push(TestBox::start(&executor, &site, name, hall, 1_000).await?);
+            boxes.push(TestBox::start(&executor, &site, name, hall, 1_000).await?);
         }
-        box_harness::ready(&machines).await?;
+        box_harness::ready(&boxes).await?;
         let start = Instant::now();
-        let answers = sent(&executor, &machines, hot).await?;
+        let answers = sent(&executor, &boxes, hot).await?;
         let known: Vec<&Server> = engines.iter().collect();
         for (number, answer) in answers.iter().enumerate() {
             ensure_served_by(answer, &known, &format!("{number}"))?;
         }
         let arrivals = arrivals(&engines);
         let exceeding: Vec<&Arrival> = arrivals.iter().filter(|it| it.exceeds()).collect();
-        let told: Vec<String> = exceeding
+        let details: Vec<String> = exceeding
             .iter()
             .map(|it| {
                 let at = it.run.arrived.duration_since(start);
@@ -170,23 +169,28 @@
             .collect();
         let most = BROKEN_SHARE * arrivals.len() as f64;
         let broken = exceeding.len() >= BROKEN_COUNT && exceeding.len() as f64 > most;
-        ensure!(!broken, "{} of {}: {told:?}", told.len(), arrivals.len());
+        ensure!(
+            !broken,
+            "{} of {}: {details:?}",
+            details.len(),
+            arrivals.len()
+        );
         Ok(())
     })
 }
 
 #[test]
-fn no_engine_gets_far_more_than_the_others() -> Result {
+fn no_engine_gets_far_more_requests_than_the_others() -> Result {
     spread(engines_site, HOT)
 }
 
 #[test]
-fn a_very_hot_subject_is_spread_though_engines_copy_it() -> Result {
+fn a_very_hot_subject_is_spread_over_engines_that_copy_it() -> Result {
     spread(engines_site, VERY_HOT)
 }
 
 #[test]
-fn a_very_hot_subject_is_spread_though_each_engine_reads_it() -> Result {
+fn a_very_hot_subject_is_spread_over_engines_that_prefill_it() -> Result {
     spread(box_harness::site_with_keys, VERY_HOT)
 }
 
@@ -195,10 +199,10 @@
     run(async |executor| {
         let site = engines_site()?;
         let engines = [site.server(engine(1))?, site.server(engine(2))?];
-        let machine = TestBox::start(&executor, &site, "box-0", "hall-1", 1_000).await?;
-        box_harness::ready(std::slice::from_ref(&machine)).await?;
+        let test_box = TestBox::start(&executor, &site, "box-0", "hall-1", 1_000).await?;
+        box_harness::ready(std::slice::from_ref(&test_box)).await?;
         for (number, engine) in engines.iter().enumerate() {
-            // Two requests at once and one after them, past the router.
+            // Two requests at once and one after them, without the router.
             let front = engine.address();
             let call = post("/u/x", &format!("{number}"));
             let both = futures_lite::future::zip(Client::once(front, &call), async {
--- a/crates/relay/tests/relay/shared.rs
+++ b/crates/relay/tests/relay/shared.rs
@@ -1,4 +1,4 @@
-//! What boxes tell each other of the requests that they place, over all halls.
+//! What boxes of all halls report to each other about the requests that they place.
 
 use std::time::Duration;
 
@@ -20,9 +20,9 @@
 use crate::harness::{ms, post, run, stream_server_settings, wait_until, Executor, Result};
 use crate::impostors::closed;
 
-/// Time in which what one box placed is known to all: three questions of 0.4 s,
-/// and as much again on a machine that has other work.
-const TOLD_TIME: Duration = Duration::from_millis(2_400);
+/// Time within which all boxes know of one box's placement: three requests at intervals of
+/// 0.4 s, and as much again on a busy machine.
+const REPORT_TIME: Duration = Duration::from_millis(2_400);
 /// Tokens of the part that a subject's prompts share.
 const SHARED: u32 = 3_000;
 
@@ -34,24 +34,24 @@
 }
 
 /// Sends a box a request about a subject.
-pub(crate) async fn ask_about(machine: &TestBox, number: u64) -> Result {
+pub(crate) async fn ask_about(test_box: &TestBox, number: u64) -> Result {
     let prompt = format!("{:x}:{SHARED},c{number:x}:80", subject(number).id);
-    let call = post("/u/x", &format!("{}-{number}", machine.name));
-    let answer = machine.call(&call.with(names::PROMPT, &prompt)).await?;
+    let call = post("/u/x", &format!("{}-{number}", test_box.name));
+    let answer = test_box.call(&call.with(names::PROMPT, &prompt)).await?;
     ensure!(answer.status == 200, "{}", answer.status);
     Ok(())
 }
 
-/// Servers that a box believes to keep a subject.
-pub(crate) fn holders(machine: &TestBox, number: u64) -> Vec<Key> {
-    let index = &machine.router.relay().traffic.index;
+/// Servers that cache a subject in a box's local view.
+pub(crate) fn holders(test_box: &TestBox, number: u64) -> Vec<Key> {
+    let index = &test_box.router.relay().traffic.index;
     index.holders(&subject(number), Instant::now())
 }
 
 /// Requests of other boxes that a box counts at a server.
-fn counted(machine: &TestBox, server: &Server) -> Result<u32> {
+fn counted_requests(test_box: &TestBox, server: &Server) -> Result<u32> {
     let id = server.settings().id.parse()?;
-    let backend = machine.router.relay().fleet.get(&id);
+    let backend = test_box.router.relay().fleet.get(&id);
     let backend = backend.ok_or_else(|| eyre!("{id} is not known"))?;
     let counted = backend.total_in_flight(Duration::from_secs(2), Instant::now());
     Ok(counted.unwrap_or(0).saturating_sub(backend.in_flight()))
@@ -59,16 +59,16 @@
 
 /// Two boxes in the first hall and one in the second, all ready.
 pub(crate) async fn halls(executor: &Executor, site: &Site) -> Result<Vec<TestBox>> {
-    let mut machines = Vec::new();
+    let mut boxes = Vec::new();
     for (name, hall, link) in [
         ("box-0", "hall-1", 5_000),
         ("box-1", "hall-1", 4_000),
         ("box-2", "hall-2", 5_000),
     ] {
-        machines.push(TestBox::start(executor, site, name, hall, link).await?);
+        boxes.push(TestBox::start(executor, site, name, hall, link).await?);
     }
-    box_harness::ready(&machines).await?;
-    Ok(machines)
+    box_harness::ready(&boxes).await?;
+    Ok(boxes)
 }
 
 pub(crate) fn engines(site: &Site) -> Result<Vec<Server>> {
@@ -80,75 +80,77 @@
     Ok(servers?)
 }
 
-/// Waits until all boxes believe the same server to keep a subject.
-pub(crate) async fn agreed(machines: &[TestBox], number: u64) -> Result {
+/// Waits until all boxes have the same holder of a subject in their local views.
+pub(crate) async fn agreed(boxes: &[TestBox], number: u64) -> Result {
     let start = Instant::now();
     loop {
-        let known: Vec<Vec<Key>> = machines.iter().map(|it| holders(it, number)).collect();
+        let known: Vec<Vec<Key>> = boxes.iter().map(|it| holders(it, number)).collect();
         let same = known.iter().all(|it| !it.is_empty() && *it == known[0]);
         if same {
             return Ok(());
         }
-        ensure!(start.elapsed() < TOLD_TIME, "subject {number}: {known:?}");
+        ensure!(start.elapsed() < REPORT_TIME, "subject {number}: {known:?}");
         Timer::after(ms(20)).await;
     }
 }
 
-/// Boxes that have told each other of a placement, before some engines.
-async fn acquainted(executor: &Executor) -> Result<(Site, Vec<Server>, Vec<TestBox>)> {
+/// Boxes before some engines, after a placement of one box is known to all.
+async fn boxes_with_a_known_placement(
+    executor: &Executor,
+) -> Result<(Site, Vec<Server>, Vec<TestBox>)> {
     let site = site_with_keys()?;
     let engines = engines(&site)?;
-    let machines = halls(executor, &site).await?;
-    ask_about(&machines[1], 100).await?;
-    agreed(&machines, 100).await?;
-    Ok((site, engines, machines))
+    let boxes = halls(executor, &site).await?;
+    ask_about(&boxes[1], 100).await?;
+    agreed(&boxes, 100).await?;
+    Ok((site, engines, boxes))
 }
 
 #[test]
-fn all_boxes_learn_where_a_prompt_was_sent() -> Result {
+fn all_boxes_learn_which_server_got_a_prompt() -> Result {
     run(async |executor| {
         let site = site_with_keys()?;
         let _engines = engines(&site)?;
-        let machines = halls(&executor, &site).await?;
-        // Boxes that have just started find their hubs first.
-        ask_about(&machines[0], 100).await?;
-        wait_until("told", async || {
-            Ok(machines.iter().all(|it| !holders(it, 100).is_empty()))
+        let boxes = halls(&executor, &site).await?;
+        // Boxes that have just started have to find their hubs first.
+        ask_about(&boxes[0], 100).await?;
+        wait_until("reported", async || {
+            Ok(boxes.iter().all(|it| !holders(it, 100).is_empty()))
         })
         .await?;
-        for (number, machine) in machines.iter().enumerate() {
-            ask_about(machine, number as u64).await?;
-            agreed(&machines, number as u64).await?;
+        for (number, test_box) in boxes.iter().enumerate() {
+            ask_about(test_box, number as u64).await?;
+            agreed(&boxes, number as u64).await?;
         }
         Ok(())
     })
 }
 
 #[test]
-fn boxes_go_on_telling_each_other_while_the_store_is_down() -> Result {
+fn boxes_keep_reporting_while_the_store_is_down() -> Result {
     run(async |executor| {
-        let (_site, _engines, machines) = acquainted(&executor).await?;
-        for machine in &machines {
-            machine.store.silence();
+        let (_site, _engines, boxes) = boxes_with_a_known_placement(&executor).await?;
+        for test_box in &boxes {
+            test_box.store.silence();
         }
         Timer::after(ms(2_500)).await;
-        for (number, machine) in machines.iter().enumerate() {
-            ask_about(machine, number as u64).await?;
-            agreed(&machines, number as u64).await?;
+        for (number, test_box) in boxes.iter().enumerate() {
+            ask_about(test_box, number as u64).await?;
+            agreed(&boxes, number as u64).await?;
         }
         Ok(())
     })
 }
 
 #[test]
-fn another_box_takes_the_place_of_a_hub_that_hangs() -> Result {
+fn another_box_replaces_a_hub_that_hangs() -> Result {
     run(async |executor| {
-        let (_site, _engines, machines) = acquainted(&executor).await?;
-        machines[0].freeze(true);
-        let awake = &machines[1..];
-        // Both of the others give the hub up first.
+        let (_site, _engines, boxes) = boxes_with_a_known_placement(&executor).await?;
+        boxes[0].freeze(true);
+        let awake = &boxes[1..];
+        // Both of the other boxes first give up on the hub.
         let mut number = 0;
-        wait_until("told", async || {
+        wait_until("reported", async || {
             number += 1;
             ask_about(&awake[0], number).await?;
             let start = Instant::now();
@@ -164,28 +166,25 @@
 }
 
 #[test]
-fn a_box_that_starts_asks_the_others_what_is_kept() -> Result {
+fn a_starting_box_asks_the_others_what_is_cached() -> Result {
     run(async |executor| {
         let site = site_with_keys()?;
         let _engines = engines(&site)?;
-        let mut machines = halls(&executor, &site).await?;
+        let mut boxes = halls(&executor, &site).await?;
         for number in 0..20 {
-            ask_about(&machines[0], number).await?;
+            ask_about(&boxes[0], number).await?;
         }
-        agreed(&machines, 19).await?;
-        // The only box of its hall starts again.
-        drop(machines.remove(2));
+        agreed(&boxes, 19).await?;
+        // The only box of its hall is restarted.
+        drop(boxes.remove(2));
         let fresh = TestBox::start(&executor, &site, "box-3", "hall-2", 5_000).await?;
-        machines.push(fresh);
+        boxes.push(fresh);
         let start = Instant::now();
         wait_until("recalled", async || {
-            Ok(
-                (0..20)
-                    .all(|number| holders(&machines[2], number) == holders(&machines[0], number)),
-            )
+            Ok((0..20).all(|number| holders(&boxes[2], number) == holders(&boxes[0], number)))
         })
         .await?;
-        ensure!(start.elapsed() < TOLD_TIME, "{:?}", start.elapsed());
+        ensure!(start.elapsed() < REPORT_TIME, "{:?}", start.elapsed());
         Ok(())
     })
 }
@@ -199,34 +198,38 @@
             ..stream_server_settings(1, 40, ms(100))
         };
         let engine = site.server(slow)?;
-        let machines = halls(&executor, &site).await?;
+        let boxes = halls(&executor, &site).await?;
         let mut calls = Vec::new();
-        for machine in &machines {
+        for test_box in &boxes {
             for number in 0..2 {
-                let front = machine.router.client_address();
-                let call = post("/u/x", &format!("{}-{number}", machine.name));
+                let front = test_box.router.client_address();
+                let call = post("/u/x", &format!("{}-{number}", test_box.name));
                 calls.push(executor.spawn(async move { Client::once(front, &call).await }));
             }
         }
-        let counts =
-            || -> Result<Vec<u32>> { machines.iter().map(|it| counted(it, &engine)).collect() };
+        let counts = || -> Result<Vec<u32>> {
+            boxes
+                .iter()
+                .map(|it| counted_requests(it, &engine))
+                .collect()
+        };
         wait_until("counted", async || Ok(counts()? == [4, 4, 4])).await?;
         for call in calls {
             ensure!(call.await?.status == 200, "not served");
         }
-        wait_until("over", async || Ok(counts()? == [0, 0, 0])).await
+        wait_until("ended", async || Ok(counts()? == [0, 0, 0])).await
     })
 }
 
 #[test]
-fn a_box_that_tells_nonsense_does_no_harm() -> Result {
+fn a_nonsensical_report_does_no_harm() -> Result {
     run(async |executor| {
         let site = site_with_keys()?;
         let engines = engines(&site)?;
-        let machines = halls(&executor, &site).await?;
-        let open = || Conn::open(machines[0].peer, ms(500), ms(30_000));
+        let boxes = halls(&executor, &site).await?;
+        let open = || Conn::open(boxes[0].peer, ms(500), ms(30_000));
         let server = Key::new(&id("no-such-server")?);
-        let ask = |version| traffic::Request {
+        let report_request = |version| traffic::Request {
             version,
             number: 1,
             asker: traffic::Requester::Box,
@@ -245,7 +248,7 @@
             },
         };
         let mut other = open().await?;
-        link::send(&other, &PeerRequest::Traffic(ask(VERSION + 1))).await?;
+        link::send(&other, &PeerRequest::Traffic(report_request(VERSION + 1))).await?;
         closed(&mut other).await?;
         let mut other = open().await?;
         let wrong = recall::Request {
@@ -253,19 +256,19 @@
         };
         link::send(&other, &PeerRequest::Recall(wrong)).await?;
         closed(&mut other).await?;
-        // Two that say the same, so that sums overflow if they can.
-        let mut liars = Vec::new();
+        // Two connections with the same report, so that sums would overflow if unchecked.
+        let mut connections = Vec::new();
         for _ in 0..2 {
-            let mut liar = open().await?;
-            link::send(&liar, &PeerRequest::Traffic(ask(VERSION))).await?;
-            let answer: traffic::Answer = link::receive(&mut liar).await?;
+            let mut connection = open().await?;
+            link::send(&connection, &PeerRequest::Traffic(report_request(VERSION))).await?;
+            let answer: traffic::Answer = link::receive(&mut connection).await?;
             ensure!(answer.number == 1, "{answer:?}");
-            liars.push(liar);
+            connections.push(connection);
         }
-        let index = &machines[0].router.relay().traffic.index;
+        let index = &boxes[0].router.relay().traffic.index;
         ensure!(index.len() <= 8_192, "{} parts", index.len());
-        for machine in &machines {
-            ask_about(machine, 1).await?;
+        for test_box in &boxes {
+            ask_about(test_box, 1).await?;
         }
         drop(engines);
         Ok(())
