--- a/crates/relay/src/recall/boxes.rs
+++ b/crates/relay/src/recall/boxes.rs
@@ -1,4 +1,4 @@
-//! Asking other boxes which engines keep which parts.
+//! Asks other boxes which engines cache which prompt parts.
 
 use std::time::Duration;
 
@@ -15,19 +15,19 @@
 
 /// Boxes of this hall that are asked beside its first one.
 const NEIGHBOURS: usize = 2;
-/// Longest time for a whole answer, which is 70 KB at the most: 0.06 s over the
-/// weakest link, and a hub answers its whole hall.
-const WHOLE_TIME: Duration = Duration::from_millis(600);
+/// Time-out for a whole answer. The largest has 70 KB, which takes 0.06 s over the slowest
+/// link, but a hub answers all boxes of its hall.
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Asks some boxes at once and takes over what they know; returns whether this
-/// box now knows all that there is to know.
+/// Sends requests to some boxes concurrently and merges their answers. Returns whether this
+/// box now knows everything that can be learned.
 pub(super) async fn ask(
     relay: &Relay,
     registry: &Registry,
     executor: &LocalExecutor<'static>,
 ) -> bool {
-    let asked = asked(registry);
-    let tasks: Vec<(Member, Task<_>)> = asked
+    let members = members_to_ask(registry);
+    let tasks: Vec<(Member, Task<_>)> = members
         .into_iter()
         .map(|member| (member.clone(), executor.spawn(ask_one(member))))
         .collect();
@@ -48,21 +48,21 @@
     answers
         .iter()
         .any(|(_, progress)| *progress == Progress::Done)
-        || all_listed(relay, registry, &answers)
+        || all_have_lists(relay, registry, &answers)
 }
 
-/// Whether the first box of each hall that answered, and this one if it is the
-/// first of its own, know what the engines there keep.
-fn all_listed(relay: &Relay, registry: &Registry, answers: &[(Member, Progress)]) -> bool {
+/// Whether the first box of each hall that answered, and this box if it is the first of its
+/// own hall, have the lists of the engines there.
+fn all_have_lists(relay: &Relay, registry: &Registry, answers: &[(Member, Progress)]) -> bool {
     let is_first = |member: &Member| registry.members_of(&member.hall).first() == Some(member);
     let mut firsts = answers.iter().filter(|(member, _)| is_first(member));
-    let own = !relay.traffic.is_hub() || relay.traffic.progress() == Progress::Listed;
-    own && !answers.is_empty() && firsts.all(|(_, progress)| *progress >= Progress::Listed)
+    let own_hall = !relay.traffic.is_hub() || relay.traffic.progress() == Progress::Listed;
+    own_hall && !answers.is_empty() && firsts.all(|(_, progress)| *progress >= Progress::Listed)
 }
 
-/// The first box of each hall, and some more of this one: which of them are up
-/// is not known.
-fn asked(registry: &Registry) -> Vec<Member> {
+/// The first box of each hall, and some more of this hall, as it is not known which boxes
+/// are up.
+fn members_to_ask(registry: &Registry) -> Vec<Member> {
     let first_of = |hall| registry.members_of(hall).into_iter().next();
     let far = registry.other_halls();
     let firsts = far.iter().filter_map(first_of);
@@ -79,7 +79,7 @@
     let mut conn = link::open(member.address, CONNECT_TIMEOUT).await?;
     link::send(&conn, &PeerRequest::Recall(Request { version: VERSION })).await?;
     link::within(ANSWER_TIMEOUT, link::wait_for_length(&mut conn)).await?;
-    let answer: Answer = link::within(WHOLE_TIME, link::receive(&mut conn)).await?;
+    let answer: Answer = link::within(RECEIVE_TIMEOUT, link::receive(&mut conn)).await?;
     if answer.version != VERSION {
         return Err(Error::Malformed(format!("version {}", answer.version)));
     }
--- a/crates/relay/src/recall/engines.rs
+++ b/crates/relay/src/recall/engines.rs
@@ -1,7 +1,7 @@
-//! Asking the engines of this hall what they keep.
+//! Asks the engines of this hall for the prompt parts that they cache.
 //!
-//! A list costs an engine some of its time, so that this is done once, by one
-//! box, and only where no box can tell.
+//! A list costs an engine some time, so it is requested only once, by one box, and only if
+//! no other box has the data.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,41 +16,41 @@
 use crate::relay::Relay;
 use crate::traffic::{index, Progress};
 
-/// Engines asked at once: so many lists fit into a box's memory and link.
-const AT_ONCE: usize = 8;
-/// What is waited for and taken of one engine: a list has some 60 bytes a part,
-/// and the largest engines keep some thousand parts.
+/// Number of engines asked concurrently: as many as a box's memory and link can take.
+const CONCURRENT_MAX: usize = 8;
+/// Limits for the request to one engine: a list has some 60 bytes per part, and the largest
+/// engines cache a few thousand parts.
 const LIMITS: Limits = Limits {
     open: Duration::from_millis(150),
     unacked: Duration::from_secs(1),
     head_bytes: 8 << 10,
     body_bytes: 512 << 10,
 };
-/// Longest time for a list. What comes later is of little use: by then most
-/// subjects have been placed anew.
-const LIST_TIME: Duration = Duration::from_millis(500);
+/// Time-out for a list. A later list is of little use: most subjects have been placed anew
+/// by then.
+const LIST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Asks all engines of this hall, and records what they keep. Does nothing
-/// while engines or their services are not known.
+/// Asks all engines of this hall and records what they cache. Does nothing until the
+/// engines and their services are known.
 pub(super) async fn list(relay: &Relay, executor: &LocalExecutor<'static>) {
     let Some(engines) = engines(relay) else {
         return;
     };
     let share = index::PARTS_MAX.get() / relay.fleet.len().max(1);
-    for some in engines.chunks(AT_ONCE) {
+    for some in engines.chunks(CONCURRENT_MAX) {
         let now = Instant::now();
         let permitted = some
             .iter()
             .filter_map(|engine| Some((engine, relay.fleet.permit(engine, now).ok()?)));
         let lists: Vec<_> = permitted
-            .map(|(engine, permit)| (engine, executor.spawn(ask(permit))))
+            .map(|(engine, permit)| (engine, executor.spawn(request_list(permit))))
             .collect();
         for (engine, list) in lists {
             match list.await {
                 Ok(reply) => {
-                    let said = answer::decode(&reply.head);
-                    relay.fleet.observe_answer(engine, &said, "-");
-                    take(relay, engine, &reply, share);
+                    let advertised = answer::decode(&reply.head);
+                    relay.fleet.observe_answer(engine, &advertised, "-");
+                    record_answer(relay, engine, &reply, share);
                 }
                 Err(error) => log::info!(
                     target: "belief",
@@ -63,7 +63,7 @@
     relay.traffic.set_progress(Progress::Listed);
 }
 
-/// The engines of this hall, once catalog and servers are known.
+/// The engines of this hall, once the catalog and the servers are known.
 fn engines(relay: &Relay) -> Option<Vec<Rc<Backend>>> {
     let catalog = relay.view.catalog()?;
     if relay.fleet.is_empty() {
@@ -75,8 +75,8 @@
     Some(serving.filter(|it| it.server.hall == relay.hall).collect())
 }
 
-/// Records the largest parts, which cost most to read again: the index has room
-/// for so many of each server, and most others are of one request alone.
+/// Records the largest parts, which cost most to prefill again. The index has room for
+/// `share` parts of each server, and most of the others belong to a single request.
 fn record(relay: &Relay, engine: &Backend, mut parts: Vec<Part>, share: usize) {
     parts.sort_by_key(|part| std::cmp::Reverse(part.tokens));
     parts.truncate(share);
@@ -92,8 +92,8 @@
     }
 }
 
-/// Takes over the list in an engine's answer.
-fn take(relay: &Relay, engine: &Backend, reply: &Reply, share: usize) {
+/// Records the list in an engine's answer.
+fn record_answer(relay: &Relay, engine: &Backend, reply: &Reply, share: usize) {
     let listed = match reply.head.status() {
         200 => monitoring::cached_parts(&reply.body).map_err(|error| error.to_string()),
         status => Err(format!("status {status}")),
@@ -108,12 +108,12 @@
     }
 }
 
-async fn ask(permit: Permit) -> Result<Reply, Failure> {
+async fn request_list(permit: Permit) -> Result<Reply, Failure> {
     let caller = Caller::new(permit.backend().server.address, LIMITS);
     let request = Request {
         method: "GET",
         target: monitoring::CACHE_LIST,
         body: None,
     };
-    caller.call(&request, LIST_TIME, |_| {}).await
+    caller.call(&request, LIST_TIMEOUT, |_| {}).await
 }
--- a/crates/relay/src/recall/mod.rs
+++ b/crates/relay/src/recall/mod.rs
@@ -1,9 +1,9 @@
-//! Learning after a start which engines keep which parts of prompts.
+//! Learns after a start which engines cache which parts of prompts.
 //!
-//! A box that was restarted knows nothing of where prompts are kept, and would
-//! have them read anew. Other boxes know, and tell it ([`boxes`]). Where all
-//! boxes were restarted together, the hub of each hall asks the engines of its
-//! hall (`engines`), once, and the others ask the hubs.
+//! A box that was restarted does not know where prompts are cached, and would have them
+//! prefilled again. It gets this from other boxes ([`boxes`]). If all boxes were restarted
+//! together, the hub of each hall asks the engines of its hall once (`engines`), and the
+//! other boxes ask the hubs.
 
 pub mod boxes;
 mod engines;
@@ -17,8 +17,8 @@
 use crate::relay::Relay;
 use crate::traffic::Progress;
 
-/// Pauses between rounds of questions. Boxes that start together are up within
-/// 0.3 s of each other, and their hubs have asked the engines 0.1 s later.
+/// Pauses between rounds of requests. Boxes that start together are up within 0.3 s of each
+/// other, and their hubs have asked the engines 0.1 s later.
 const PAUSES: [Duration; 5] = [
     Duration::from_millis(100),
     Duration::from_millis(150),
@@ -27,11 +27,11 @@
     Duration::from_millis(1_000),
 ];
 
-/// Round from which a box that is not the first of its hall lists the engines
-/// there if it has become the hub: the first one may be dead.
+/// Round from which a box other than the first of its hall asks the engines if it has
+/// become the hub, as the first box may be dead.
 const LATE_ROUND: usize = 2;
 
-/// Learns what is kept; ends when that is known or nobody can tell.
+/// Learns what is cached; returns when everything is known or no round is left.
 pub async fn run(relay: Rc<Relay>, registry: Rc<Registry>, executor: Rc<LocalExecutor<'static>>) {
     while !registry.is_listed() {
         registry.changed.wait().await;
@@ -41,7 +41,8 @@
         if boxes::ask(&relay, &registry, &executor).await {
             break;
         }
-        // Another box lists the engines only if the first one does not.
+        // Other boxes ask the engines only if the first one does not.
+        //
         let lists = first || (round >= LATE_ROUND && relay.traffic.is_hub());
         if lists && relay.traffic.progress() == Progress::Started {
             engines::list(&relay, &executor).await;
--- a/crates/relay/tests/relay/recalled.rs
+++ b/crates/relay/tests/relay/recalled.rs
@@ -1,4 +1,4 @@
-//! What boxes learn after a start of what engines keep.
+//! What boxes learn after a start about the prompt parts that engines cache.
 
 use std::time::{Duration, Instant};
 
@@ -14,30 +14,26 @@
 use crate::load::engines_site;
 use crate::shared::{agreed, ask_about, engines, halls, holders};
 
-/// Time in which all that can be learned is learned.
+/// Time within which everything that can be learned is learned.
 const LEARN_TIME: Duration = Duration::from_millis(2_500);
 
-/// Boxes that know what engines keep, all of which are then killed and started
-/// again.
+/// Starts boxes, lets them learn what engines cache, and then kills and restarts all of
+/// them.
 async fn restarted(executor: &Executor, site: &Site) -> Result<(Vec<Vec<Key>>, Vec<TestBox>)> {
-    let machines = halls(executor, site).await?;
+    let boxes = halls(executor, site).await?;
     for number in 0..12 {
-        ask_about(&machines[number as usize % 3], number).await?;
+        ask_about(&boxes[number as usize % 3], number).await?;
     }
-    agreed(&machines, 11).await?;
-    let known = (0..12)
-        .map(|number| holders(&machines[0], number))
-        .collect();
-    drop(machines);
+    agreed(&boxes, 11).await?;
+    let known = (0..12).map(|number| holders(&boxes[0], number)).collect();
+    drop(boxes);
     Ok((known, halls(executor, site).await?))
 }
 
-async fn all_learned(machines: &[TestBox]) -> Result {
+async fn all_learned(boxes: &[TestBox]) -> Result {
     let start = Instant::now();
     wait_until("learned", async || {
-        let progress = machines
-            .iter()
-            .map(|it| it.router.relay().traffic.progress());
+        let progress = boxes.iter().map(|it| it.router.relay().traffic.progress());
         Ok(progress.into_iter().all(|it| it == Progress::Done))
     })
     .await?;
@@ -46,33 +42,41 @@
 }
 
 #[test]
-fn boxes_that_all_started_anew_learn_from_the_engines() -> Result {
+fn boxes_that_all_restarted_learn_from_the_engines() -> Result {
     run(async |executor| {
         let site = engines_site()?;
         let engines = engines(&site)?;
-        let asked =
+        let list_counts =
             |engines: &[Server]| -> Vec<u64> { engines.iter().map(Server::probes).collect() };
-        let (known, machines) = restarted(&executor, &site).await?;
-        all_learned(&machines).await?;
-        for machine in &machines {
+        let (known, boxes) = restarted(&executor, &site).await?;
+        all_learned(&boxes).await?;
+        for test_box in &boxes {
             for (number, known) in known.iter().enumerate() {
-                let holders = holders(machine, number as u64);
-                ensure!(holders == *known, "{}: {number}: {holders:?}", machine.name);
+                let holders = holders(test_box, number as u64);
+                ensure!(
+                    holders == *known,
+                    "{}: {number}: {holders:?}",
+                    test_box.name
+                );
             }
         }
         // Each engine was asked by one box: at the first start, and now.
-        let lists = asked(&engines);
+        let lists = list_counts(&engines);
         ensure!(lists.iter().all(|count| *count <= 2), "{lists:?}");
-        // One that starts now asks the others.
+        // A box that starts now asks the other boxes.
         let _fresh = TestBox::start(&executor, &site, "box-9", "hall-2", 100).await?;
         Timer::after(ms(700)).await;
-        ensure!(asked(&engines) == lists, "{:?}", asked(&engines));
+        ensure!(
+            list_counts(&engines) == lists,
+            "{:?}",
+            list_counts(&engines)
+        );
         Ok(())
     })
 }
 
 #[test]
-fn a_list_that_is_wrong_or_never_comes_holds_nothing_up() -> Result {
+fn a_malformed_or_oversized_list_delays_nothing() -> Result {
     run(async |executor| {
         let site = engines_site()?;
         let engines = engines(&site)?;
@@ -83,60 +87,64 @@
         engines[0].tell_kept(b"no list");
         engines[1].tell_kept(endless.as_bytes());
         engines[2].tell_kept(b"{\"held\":[[\"\",\"zz\",1,\"m\"]]}");
-        let machines = halls(&executor, &site).await?;
-        all_learned(&machines).await?;
-        for machine in &machines {
-            let index = &machine.router.relay().traffic.index;
+        let boxes = halls(&executor, &site).await?;
+        all_learned(&boxes).await?;
+        for test_box in &boxes {
+            let index = &test_box.router.relay().traffic.index;
             ensure!(index.len() <= 8_192, "{} parts", index.len());
-            ask_about(machine, 1).await?;
+            ask_about(test_box, 1).await?;
         }
         Ok(())
     })
 }
 
 #[test]
-fn a_dark_engine_does_not_hold_the_others_lists_up() -> Result {
+fn an_unresponsive_engine_does_not_delay_the_lists_of_others() -> Result {
     run(async |executor| {
         let site = engines_site()?;
         let engines = engines(&site)?;
-        let machines = halls(&executor, &site).await?;
-        ask_about(&machines[0], 1).await?;
-        agreed(&machines, 1).await?;
-        let holder = holders(&machines[0], 1);
-        drop(machines);
-        let dark = engines.iter().find(|engine| {
+        let boxes = halls(&executor, &site).await?;
+        ask_about(&boxes[0], 1).await?;
+        agreed(&boxes, 1).await?;
+        let holder = holders(&boxes[0], 1);
+        drop(boxes);
+        let unresponsive = engines.iter().find(|engine| {
             let id = engine.settings().id.parse();
             id.is_ok_and(|id| holder != [Key::new(&id)])
         });
-        if let Some(dark) = dark {
-            dark.dark(true);
+        if let Some(unresponsive) = unresponsive {
+            unresponsive.dark(true);
         }
-        let machines = halls(&executor, &site).await?;
-        all_learned(&machines).await?;
-        let learned = holders(&machines[0], 1);
+        let boxes = halls(&executor, &site).await?;
+        all_learned(&boxes).await?;
+        let learned = holders(&boxes[0], 1);
         ensure!(learned == holder, "{learned:?}");
         Ok(())
     })
 }
 
-/// A server says that it leaves in the list of what it keeps, too.
+/// A server also advertises that it is leaving in the list of its cached parts.
 #[test]
-fn an_engine_that_says_it_leaves_in_its_list_gets_nothing() -> Result {
+fn an_engine_that_is_leaving_by_its_list_gets_nothing() -> Result {
     run(async |executor| {
         let site = engines_site()?;
         let engines = engines(&site)?;
         for engine in &engines {
             engine.leave(true);
         }
-        let machines = halls(&executor, &site).await?;
-        all_learned(&machines).await?;
-        let heard = machines.iter().map(|it| {
+        let boxes = halls(&executor, &site).await?;
+        all_learned(&boxes).await?;
+        let ineligible = boxes.iter().map(|it| {
             let now = tidepier_clock::Instant::now();
             it.router.relay().fleet.withheld(now).0
         });
-        let heard: usize = heard.sum();
-        // The hub of each hall asks the engines of its own.
-        ensure!(heard == engines.len(), "{heard} of {}", engines.len());
+        let ineligible: usize = ineligible.sum();
+        // The hub of each hall asks the engines of its own hall.
+        ensure!(
+            ineligible == engines.len(),
+            "{ineligible} of {}",
+            engines.len()
+        );
         Ok(())
     })
 }
