--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -1,11 +1,11 @@
-//! One sending of a request to one server.
+//! One attempt to send a request to one server.
 //!
 //! Invariants:
 //!
-//! * [`Executed::No`] is said only where no byte of the request left this box, or
-//!   where the server itself states that it did not run.
-//! * An answer is returned only if it names the attempt that was sent, and a
-//!   success only if the server signed it.
+//! * [`Executed::No`] is returned only if no byte of the request left this box, or if the
+//!   server itself states that it did not execute the request.
+//! * An answer is returned only if it names the attempt that was sent, and a success only
+//!   if the server signed it.
 
 use std::fmt;
 use std::io;
@@ -22,56 +22,57 @@
 use crate::fleet::{Backend, Fleet, InFlight, Permit};
 use crate::timeout;
 
-/// Longest time to open a connection to a server: over ten round trips
-/// between halls, and far under the time after which a lost opening is
-/// repeated. Nothing was sent then, so another server is tried at once.
+/// Time-out for opening a connection to a server: more than ten round trips between halls,
+/// and far less than the time after which a lost SYN is retransmitted. Nothing was sent by
+/// then, so another server can be tried at once.
 pub(crate) const CONNECT_TIME: Duration = Duration::from_millis(150);
-/// Data that a server leaves unacknowledged for so long ends its connection.
-const UNACKED_TIME: Duration = Duration::from_secs(3);
+/// A connection is closed when the server leaves data unacknowledged for this long.
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(3);
 /// Largest head of an answer, in bytes.
-const HEAD_BYTES: usize = 16 << 10;
+const HEAD_BYTES_MAX: usize = 16 << 10;
 /// Largest answer to another request that is skipped, in bytes.
-const SURPLUS_BYTES: usize = 256 << 10;
-/// Answers to other requests that are skipped on one connection.
-const SURPLUS_MAX: usize = 2;
+const SKIPPED_BYTES_MAX: usize = 256 << 10;
+/// Maximum number of answers to other requests that are skipped on one connection.
+const SKIPPED_MAX: usize = 2;
 
-/// Whether a request that failed has run.
+/// Whether a failed request was executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Executed {
-    /// It has not and never will.
+    /// It was not executed and never will be.
     No,
-    /// It may have, or may yet.
+    /// It may have been executed, or may yet be.
     Unknown,
 }
 
 /// Why there is no answer.
 #[derive(Debug)]
 pub enum Cause {
-    /// The server takes nothing new, as was learned while a connection was opened.
+    /// The server stopped taking new requests, which became known while the connection was
+    /// being opened.
     Withheld(Ineligible),
     /// No connection.
     Connect(io::Error),
-    /// The connection broke off before an answer's head.
+    /// The connection was lost before the head of the answer.
     Lost(Malformed),
-    /// No answer in time.
+    /// No answer before the deadline.
     Late,
-    /// The answer names no attempt, or others only.
+    /// The answer names no attempt, or only other attempts.
     WrongAttempt,
     /// A success that the server did not sign.
     Unsigned,
-    /// The answer's body broke off.
+    /// The body of the answer was cut off.
     Broken(io::Error),
-    /// A stream, or the whole server, went silent.
+    /// A stream or the whole server stalled.
     Stalled,
-    /// The server refused it, with this status, and did not run it.
+    /// The server refused the request with this status and did not execute it.
     Refused(u16),
     /// The server answered with an error of its own.
     Error(u16),
 }
 
 impl Cause {
-    /// Whether the server may have ended while it ran the request: the connection
-    /// broke off or went silent.
+    /// Whether the server may have crashed while it executed the request: the connection
+    /// was cut off or stalled.
     pub fn may_be_crash(&self) -> bool {
         match self {
             Cause::Lost(Malformed::BrokenOff | Malformed::Lost(_)) | Cause::Stalled => true,
@@ -104,91 +105,92 @@
             Cause::Connect(error) => write!(f, "no connection: {error}"),
             Cause::Lost(error) => write!(f, "no answer: {error}"),
             Cause::Late => f.write_str("no answer in time"),
-            Cause::WrongAttempt => f.write_str("the answer is not to this attempt"),
-            Cause::Unsigned => f.write_str("a success without a signature"),
-            Cause::Broken(error) => write!(f, "the answer broke off: {error}"),
-            Cause::Stalled => f.write_str("the server went silent"),
-            Cause::Refused(status) => write!(f, "the server refused it with {status}"),
+            Cause::WrongAttempt => f.write_str("the answer names another attempt"),
+            Cause::Unsigned => f.write_str("the success is not signed"),
+            Cause::Broken(error) => write!(f, "the answer was cut off: {error}"),
+            Cause::Stalled => f.write_str("the server stalled"),
+            Cause::Refused(status) => write!(f, "the server refused the request with {status}"),
             Cause::Error(status) => write!(f, "the server answered {status}"),
         }
     }
 }
 
-/// A sending without an answer.
+/// An attempt without an answer.
 #[derive(Debug)]
 pub struct Failure {
-    /// Whether the request has run.
+    /// Whether the request was executed.
     pub ran: Executed,
-    /// Why.
+    /// Why there is no answer.
     pub cause: Cause,
 }
 
-/// A request as it goes to one server.
+/// A request as it is sent to one server.
 pub struct Dispatch<'a> {
     /// Head and body.
     pub bytes: &'a [u8],
-    /// Its method.
+    /// The request method.
     pub method: &'a str,
-    /// The attempt that the answer has to name.
+    /// Id of the attempt, which the answer has to name.
     pub attempt: &'a str,
-    /// When it is given up.
+    /// When the attempt is given up.
     pub deadline: Instant,
-    /// Longest rest of a kept connection that may carry it.
+    /// Maximum idle time of a pooled connection that may carry the request.
     pub max_idle: Duration,
-    /// Prompt tokens that the server has to read.
+    /// Prompt tokens that the server has to prefill.
     pub prefill: u64,
-    /// Called when there is a connection, before anything is sent.
+    /// Called once there is a connection, before anything is sent.
     pub on_connected: &'a dyn Fn(),
-    /// Is told what the server says of itself.
+    /// Records what the server reports of itself.
     pub fleet: &'a Fleet,
 }
 
-/// The head of an answer, and what its body comes from.
+/// The head of an answer, and the state for reading its body.
 pub struct Reply {
     /// The head as sent.
     pub head: Head,
-    /// What it says.
+    /// The decoded head.
     pub answer: Answer,
-    /// How its body ends.
+    /// How the end of the body is determined.
     pub framing: Framing,
-    /// The body, unread.
+    /// The body, not yet read.
     pub body: Body,
     /// The connection that it arrives on.
     pub conn: Conn,
     /// Whether the connection can carry another request after the body.
     pub reusable: bool,
-    /// Keeps the request counted at its server.
+    /// Counts the request as in flight at its server.
     pub running: InFlight,
 }
 
-/// Sends a request; waits for the head of its answer.
+/// Sends a request and waits for the head of its answer.
 ///
 /// # Errors
 ///
 /// There is no answer that can be passed on.
-pub async fn send(permit: &Permit, sending: &Dispatch<'_>) -> Result<Reply, Failure> {
+pub async fn send(permit: &Permit, dispatch: &Dispatch<'_>) -> Result<Reply, Failure> {
     let backend = permit.backend();
-    let running = backend.run(sending.prefill);
+    let running = backend.run(dispatch.prefill);
     backend.health.sent(Instant::now());
-    let mut conn = connection(backend, sending).await?;
-    // An answer to another request may have brought the server's word meanwhile.
-    permit.renewed(Instant::now()).map_err(not_sent)?;
-    (sending.on_connected)();
-    let exchanged = timeout::until(sending.deadline, exchange(&mut conn, sending)).await;
-    let (own, whole) = exchanged.unwrap_or_else(|| Err(unknown(Cause::Late)))?;
-    let Own {
+    let mut conn = connection(backend, dispatch).await?;
+    // An answer to another request may meanwhile have reported that the server takes
+    // nothing new.
+    permit.renewed(Instant::now()).map_err(ineligible)?;
+    (dispatch.on_connected)();
+    let exchanged = timeout::until(dispatch.deadline, exchange(&mut conn, dispatch)).await;
+    let (own, written_whole) = exchanged.unwrap_or_else(|| Err(maybe_executed(Cause::Late)))?;
+    let OwnAnswer {
         head,
         answer,
-        before,
+        earlier,
     } = own;
-    let framing = Framing::of_answer(&head, sending.method);
-    let framing = framing.map_err(|error| unknown(Cause::Lost(error)))?;
-    let reusable = whole && !answer.close && framing != Framing::UntilClose;
+    let framing = Framing::of_answer(&head, dispatch.method);
+    let framing = framing.map_err(|error| maybe_executed(Cause::Lost(error)))?;
+    let reusable = written_whole && !answer.close && framing != Framing::UntilClose;
     backend.record_received();
-    before
+    earlier
         .iter()
         .chain([&answer])
-        .for_each(|it| sending.fleet.observe_answer(backend, it, sending.attempt));
+        .for_each(|it| dispatch.fleet.observe_answer(backend, it, dispatch.attempt));
     if let Some(load) = answer.load {
         backend.record_load(load, Instant::now());
     }
@@ -203,23 +205,23 @@
     })
 }
 
-fn not_sent(why: Ineligible) -> Failure {
+fn ineligible(why: Ineligible) -> Failure {
     Failure {
         ran: Executed::No,
         cause: Cause::Withheld(why),
     }
 }
 
-fn unknown(cause: Cause) -> Failure {
+fn maybe_executed(cause: Cause) -> Failure {
     let ran = Executed::Unknown;
     Failure { ran, cause }
 }
 
-async fn connection(backend: &Rc<Backend>, sending: &Dispatch<'_>) -> Result<Conn, Failure> {
-    if let Some(conn) = backend.connection(sending.max_idle) {
+async fn connection(backend: &Rc<Backend>, dispatch: &Dispatch<'_>) -> Result<Conn, Failure> {
+    if let Some(conn) = backend.connection(dispatch.max_idle) {
         return Ok(conn);
     }
-    let left = sending.deadline.saturating_duration_since(Instant::now());
+    let left = dispatch.deadline.saturating_duration_since(Instant::now());
     let opened = open(backend, CONNECT_TIME.min(left)).await;
     opened.map_err(|error| Failure {
         ran: Executed::No,
@@ -227,7 +229,7 @@
     })
 }
 
-/// Whether a server takes a connection, which then rests for the next request.
+/// Whether a server accepts a connection. The connection is pooled for the next request.
 pub(crate) async fn accepts_connection(backend: &Backend) -> bool {
     match open(backend, CONNECT_TIME).await {
         Ok(conn) => {
@@ -245,97 +247,100 @@
 ///
 /// # Errors
 ///
-/// The server refused, or did not answer within `limit`.
+/// The server refused the connection, or did not answer within `limit`.
 pub(crate) async fn open(backend: &Backend, limit: Duration) -> io::Result<Conn> {
     metrics::counter!("tidepier_server_connections_total").increment(1);
     let start = Instant::now();
-    let conn = Conn::open(backend.server.address, limit, UNACKED_TIME).await?;
+    let conn = Conn::open(backend.server.address, limit, UNACKED_TIMEOUT).await?;
     backend.hall.record_connect_time(start.elapsed());
     Ok(conn)
 }
 
-/// Writes the request and reads the head of its answer. An answer may come
-/// before the request is written; whether it was written whole is returned.
-async fn exchange(conn: &mut Conn, sending: &Dispatch<'_>) -> Result<(Own, bool), Failure> {
+/// Writes the request and reads the head of its answer. An answer may arrive before the
+/// request is written; returns whether the request was written whole.
+async fn exchange(conn: &mut Conn, dispatch: &Dispatch<'_>) -> Result<(OwnAnswer, bool), Failure> {
     let writer = conn.writer();
     let written = std::cell::Cell::new(false);
     let write = async {
-        // A failed write ends the connection; the reader reports why.
-        written.set(writer.write_all(sending.bytes).await.is_ok());
+        // A failed write ends the connection; the reader reports the reason.
+        written.set(writer.write_all(dispatch.bytes).await.is_ok());
         future::pending().await
     };
-    let own = read(conn, sending).or(write).await?;
+    let own = read(conn, dispatch).or(write).await?;
     Ok((own, written.get()))
 }
 
 /// The answer to this request.
-struct Own {
+struct OwnAnswer {
     head: Head,
     answer: Answer,
     /// Answers to other requests that came first, from the same server.
-    before: Vec<Answer>,
+    earlier: Vec<Answer>,
 }
 
-async fn read(conn: &mut Conn, sending: &Dispatch<'_>) -> Result<Own, Failure> {
-    let mut before: Vec<Answer> = Vec::new();
+async fn read(conn: &mut Conn, dispatch: &Dispatch<'_>) -> Result<OwnAnswer, Failure> {
+    let mut earlier: Vec<Answer> = Vec::new();
     loop {
         let head = conn
-            .head(HEAD_BYTES)
+            .head(HEAD_BYTES_MAX)
             .await
-            .map_err(|e| unknown(Cause::Lost(e)))?;
-        let head = head.ok_or_else(|| unknown(Cause::Lost(Malformed::BrokenOff)))?;
+            .map_err(|e| maybe_executed(Cause::Lost(e)))?;
+        let head = head.ok_or_else(|| maybe_executed(Cause::Lost(Malformed::BrokenOff)))?;
         if matches!(head.status(), 100..=199) {
             continue;
         }
         let answer = answer::decode(&head);
         match answer.attempt.as_deref() {
-            Some(attempt) if attempt == sending.attempt => {
-                signed(&answer)?;
-                return Ok(own(head, answer, before));
+            Some(attempt) if attempt == dispatch.attempt => {
+                check_signature(&answer)?;
+                return Ok(own_answer(head, answer, earlier));
             }
-            None if answer.not_run => return Ok(own(head, answer, before)),
-            Some(_) if before.len() < SURPLUS_MAX => {
-                before.push(answer);
+            None if answer.not_run => return Ok(own_answer(head, answer, earlier)),
+            Some(_) if earlier.len() < SKIPPED_MAX => {
+                earlier.push(answer);
                 metrics::counter!("tidepier_surplus_answers_total").increment(1);
-                skip(conn, &head, sending.method).await?;
+                skip(conn, &head, dispatch.method).await?;
             }
-            _ => return Err(unknown(Cause::WrongAttempt)),
+            _ => return Err(maybe_executed(Cause::WrongAttempt)),
         }
     }
 }
 
-fn signed(answer: &Answer) -> Result<(), Failure> {
+fn check_signature(answer: &Answer) -> Result<(), Failure> {
     if matches!(answer.status, 200..=299) && !answer.signed {
-        return Err(unknown(Cause::Unsigned));
+        return Err(maybe_executed(Cause::Unsigned));
     }
     Ok(())
 }
 
-fn own(head: Head, answer: Answer, mut before: Vec<Answer>) -> Own {
-    // Who gave them shows by this one alone: its server, unless it is another's.
+fn own_answer(head: Head, answer: Answer, mut earlier: Vec<Answer>) -> OwnAnswer {
+    // Only this answer shows which server sent the earlier ones, so they take its server
+    // id. An answer with MISDIRECTED shows that another server has this address, so the
+    // earlier ones are dropped.
     match answer.status {
-        answer::MISDIRECTED => before.clear(),
-        _ => before
+        answer::MISDIRECTED => earlier.clear(),
+        _ => earlier
             .iter_mut()
             .for_each(|it| it.server.clone_from(&answer.server)),
     }
-    Own {
+    OwnAnswer {
         head,
         answer,
-        before,
+        earlier,
     }
 }
 
-/// Reads past the body of an answer that nobody waits for.
+/// Reads and discards the body of an answer to another request.
+///
 async fn skip(conn: &mut Conn, head: &Head, method: &str) -> Result<(), Failure> {
     let framing = Framing::of_answer(head, method);
-    let framing = framing.map_err(|error| unknown(Cause::Lost(error)))?;
+    let framing = framing.map_err(|error| maybe_executed(Cause::Lost(error)))?;
     if framing == Framing::UntilClose {
-        return Err(unknown(Cause::WrongAttempt));
+        return Err(maybe_executed(Cause::WrongAttempt));
     }
-    let rest = Body::new(framing).rest(conn, None, SURPLUS_BYTES).await;
+    let rest = Body::new(framing).rest(conn, None, SKIPPED_BYTES_MAX).await;
     rest.map_err(|error| match error {
-        Unread::Broken(error) => unknown(Cause::Broken(error)),
-        Unread::TooLong(_) => unknown(Cause::WrongAttempt),
+        Unread::Broken(error) => maybe_executed(Cause::Broken(error)),
+        Unread::TooLong(_) => maybe_executed(Cause::WrongAttempt),
     })
 }
--- a/crates/relay/src/content.rs
+++ b/crates/relay/src/content.rs
@@ -1,7 +1,7 @@
-//! What a request asks, whichever attempt of its client asks it.
+//! Identifies what a request asks for, regardless of the client's attempt.
 //!
-//! Each attempt has an id of its own, so that the id does not say whether a request
-//! was here before. Its content does: who asks, where, and with which body.
+//! Each attempt has an id of its own, so the id does not tell whether a request was seen
+//! before. Its content does: the caller, the target and the body.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,13 +9,13 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Stands for the content of a request in logs and between boxes. Of 7,000 requests a
-/// second, two different ones have the same one in a day with a likelihood of 1 in
-/// 100.
+/// Hash of the content of a request, used in logs and between boxes. At 7,000 requests a
+/// second, the probability that two different requests of one day have the same hash is 1
+/// in 100.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint(u64);
 
-/// What makes up the content of a request.
+/// The content of a request.
 #[derive(Debug, Clone, Copy)]
 pub struct Parts<'a> {
     /// Method.
@@ -24,14 +24,14 @@
     pub host: &'a str,
     /// Path and query.
     pub target: &'a str,
-    /// Who asks: the account, or the key where there are no accounts.
+    /// The caller: the account, or the key where there are no accounts.
     pub caller: &'a str,
     /// The whole body.
     pub body: &'a [u8],
 }
 
 impl Fingerprint {
-    /// The content of a request.
+    /// Hashes the content of a request.
     pub fn new(parts: &Parts<'_>) -> Self {
         let mut hash = Xxh3::new();
         for text in [parts.method, parts.host, parts.target, parts.caller] {
--- a/crates/relay/tests/relay/cold.rs
+++ b/crates/relay/tests/relay/cold.rs
@@ -1,9 +1,9 @@
-//! What cold servers get from all boxes together.
+//! Requests that cold servers get from all boxes together.
 //!
-//! Load that these answer: many servers back at once while many users come, or
-//! one that comes back as the first in the order of a hot subject. The figures
-//! are those of a fleet of 78 boxes before 90 servers that bear 9.6 requests a
-//! second each while they are cold.
+//! The limits guard against overload when many servers return at once while there are many
+//! users, or when the returning server ranks first for a hot subject. The figures are those
+//! of a fleet of 78 boxes before 90 servers that can take 9.6 requests a second each while
+//! they are cold.
 
 use std::time::Duration;
 
@@ -18,11 +18,11 @@
 use crate::harness::Result;
 use crate::sim::{Plan, Sim};
 
-/// Requests a second that one cold server may get from all boxes.
+/// Maximum requests a second that one cold server may get from all boxes.
 const BOUND: usize = 19;
 /// Usual requests a second of all boxes.
 const RATE: f64 = 450.0;
-/// Longer than any play.
+/// Longer than any simulation.
 const ALWAYS: Duration = Duration::from_secs(60);
 
 fn plan() -> Plan {
@@ -41,12 +41,12 @@
     }
 }
 
-/// All servers are cold at once, with two and a half times the usual requests,
-/// three in ten of them about one subject. An ideal single box could serve all:
-/// 1,125 of the 1,710 that the servers bear. 59 in 1,000 find no place, as each box
-/// has a pool of its own. Without shares the busiest server got 204 in a second.
+/// All servers are cold at once, at two and a half times the usual request rate, with three
+/// in ten requests about one subject. An ideal single box could serve all: 1,125 of the
+/// 1,710 requests a second that the servers can take. 59 in 1,000 are refused, as each box
+/// has shares of its own. Without shares the busiest server got 204 requests in a second.
 #[test]
-fn cold_servers_bear_a_crowd_and_a_hot_subject() -> Result {
+fn cold_servers_are_protected_from_high_load_and_a_hot_subject() -> Result {
     let plan = Plan {
         rate: 2.5 * RATE,
         hot: 0.3,
@@ -64,11 +64,11 @@
     Ok(())
 }
 
-/// One server is cold, and four in ten requests are about the subject that it
-/// comes first for: all others are warm, so that nobody is refused. Without shares
-/// it got 72 in a second.
+/// One server is cold, and four in ten requests are about the subject for which it ranks
+/// first. All other servers are warm, so that no request is refused. Without shares the
+/// cold server got 72 requests in a second.
 #[test]
-fn a_cold_server_of_a_hot_subject_is_spared() -> Result {
+fn a_cold_server_of_a_hot_subject_is_protected() -> Result {
     let plan = Plan { hot: 0.4, ..plan() };
     for seed in 0..3 {
         let sim = Sim::new(plan.clone(), seed)?;
@@ -82,10 +82,11 @@
     Ok(())
 }
 
-/// The servers of a whole hall are cold after it was given back; what they do
-/// not bear goes to the others. Without shares the busiest got 22 in a second.
+/// All servers of a hall are cold after its emptying was cancelled. The requests that they
+/// can't take go to the other halls. Without shares the busiest server got 22 requests in a
+/// second.
 #[test]
-fn a_cold_hall_takes_its_share_and_no_more() -> Result {
+fn a_cold_hall_gets_no_more_than_its_share() -> Result {
     let plan = Plan {
         rate: 2.0 * RATE,
         hot: 0.2,
@@ -95,17 +96,18 @@
     let hall: ids::Hall = id("hall-1")?;
     sim.chill(|server| server.hall == hall, ALWAYS)?;
     let outcome = sim.play();
-    let is_there = |server: &ids::Server| server.as_str().starts_with("i-1-");
-    let busiest = outcome.busiest(is_there);
+    let is_in_hall = |server: &ids::Server| server.as_str().starts_with("i-1-");
+    let busiest = outcome.busiest(is_in_hall);
     ensure!(busiest <= BOUND, "{busiest} requests in a second");
     ensure!(outcome.refused == 0, "{} refused", outcome.refused);
     Ok(())
 }
 
-/// A box of each hall joined, and half of the boxes list it already; it does not
-/// send before all do. Without shares the busiest server got 187 in a second.
+/// One box of each hall has joined, and half of the boxes list it already. It sends nothing
+/// before all boxes list it. Without shares the busiest server got 187 requests in a
+/// second.
 #[test]
-fn lists_that_differ_break_no_bound() -> Result {
+fn differing_lists_break_no_bound() -> Result {
     let plan = Plan {
         rate: 2.5 * RATE,
         hot: 0.3,
@@ -115,10 +117,10 @@
     let new: Vec<(ids::Box, ids::Hall)> = (0..3)
         .map(|hall| Ok((id(&format!("new-{hall}"))?, id(&format!("hall-{hall}"))?)))
         .collect::<Result<_>>()?;
-    for desk in sim.desks.iter().step_by(2) {
-        let known = sim.desks.iter().map(|other| (&other.name, &other.hall));
+    for sim_box in sim.sim_boxes.iter().step_by(2) {
+        let known = sim.sim_boxes.iter().map(|other| (&other.name, &other.hall));
         let all = known.chain(new.iter().map(|(name, hall)| (name, hall)));
-        desk.roster.set_members(&desk.name, all, sim.start);
+        sim_box.roster.set_members(&sim_box.name, all, sim.start);
     }
     sim.chill(|_| true, ALWAYS)?;
     let busiest = sim.play().busiest(|_| true);
@@ -126,7 +128,7 @@
     Ok(())
 }
 
-/// All entries of boxes lapse together, and each box lists itself alone.
+/// The list entries of all boxes expire together, so that each box lists only itself.
 #[test]
 fn boxes_that_are_no_longer_listed_still_count_for_a_while() -> Result {
     let start = Instant::now();
@@ -147,10 +149,13 @@
         Ok(count)
     };
     let before = shares(start)?;
-    ensure!((5..50).contains(&before), "a sender of {before} in 100");
+    ensure!(
+        (5..50).contains(&before),
+        "sender for {before} of 100 servers"
+    );
     let later = start + Duration::from_secs(15);
     roster.set_members(&me, [(&me, &hall)], later);
-    ensure!(shares(later)? == before, "a sender of more at once");
+    ensure!(shares(later)? == before, "sender for more servers at once");
     let gone = start + Duration::from_secs(60);
     roster.set_members(&me, [(&me, &hall)], gone);
     ensure!(shares(gone)? == 100, "the only box left is no sender");
@@ -158,7 +163,7 @@
 }
 
 #[test]
-fn a_box_that_nobody_lists_yet_is_no_sender() -> Result {
+fn a_box_that_is_not_listed_yet_is_no_sender() -> Result {
     let start = Instant::now();
     let (me, hall): (ids::Box, ids::Hall) = (id("box-0")?, id("hall-1")?);
     let roster = Roster::default();
@@ -181,8 +186,8 @@
 }
 
 proptest! {
-    /// The shares of all senders and of one more are within the bound, at any
-    /// bound and number of boxes.
+    /// The shares of all senders plus one more are within the bound, for any bound and
+    /// number of boxes.
     #[test]
     fn all_shares_and_one_more_are_within_the_bound(
         per_s in 0.1..500.0_f64,
@@ -198,9 +203,10 @@
         prop_assert!(share.senders >= 1 && share.senders <= boxes.max(1));
     }
 
-    /// In no second does a sender send more than its share, however it is asked.
+    /// A sender never sends more than its share in any second, whatever the times of the
+    /// requests.
     #[test]
-    fn a_pace_is_kept_in_every_second(
+    fn a_share_is_kept_in_every_second(
         requests in 1_usize..6,
         asked in prop::collection::vec(0_u64..5_000, 1..200),
     ) {
@@ -219,7 +225,7 @@
             let Some(next) = pace.next(share, now) else {
                 continue;
             };
-            // Some wait for their place, others do not.
+            // Some requests wait for the next free time, others are given up.
             if next <= now + Duration::from_millis(at % 200) {
                 pace.sent(next);
                 sent.push(next.duration_since(start).as_millis() as u64);
--- a/crates/relay/tests/relay/sim.rs
+++ b/crates/relay/tests/relay/sim.rs
@@ -1,9 +1,9 @@
-//! Many boxes before many servers, all in memory and in steps of time.
+//! Simulates many boxes before many servers in memory, with simulated time.
 //!
-//! Each box has its own fleet, index and list of boxes, and decides with the code
-//! that a router decides with. A request that is placed runs at its server for a
-//! fixed time; then the server tells the box its load, as with an answer. Chance
-//! comes from a seed. What a server got in a second is counted over all boxes.
+//! Each box has its own fleet, index and list of boxes, and decides with the router's code.
+//! A placed request runs at its server for a fixed time; then the server reports its load
+//! to the box, as with an answer. Randomness comes from a seed. The requests that a server
+//! got in a second are counted over all boxes.
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -27,15 +27,16 @@
 use crate::choice_harness::{address, id};
 use crate::harness::{Result, SERVICE};
 
-/// Longest wait for a cold server to bear a request, as of a router.
+/// Longest wait until a cold server admits a request, as in the router.
 const COLD_WAIT: Duration = Duration::from_millis(150);
-/// Servers that may turn out not to be there before a request is refused while there
-/// are others, as of a router.
-const ABSENT_HOPEFUL_MAX: usize = 12;
-/// Servers that may turn one request away.
+/// Number of servers that may turn out to be unreachable before a request is refused while
+/// there are others, as in the router.
+const UNREACHABLE_MAX: usize = 12;
+/// Number of servers that may reject one request.
 const ATTEMPTS: usize = 2;
-/// When a refused client comes back where nothing better is known, as of a router.
-const SOON: Duration = Duration::from_millis(150);
+/// When the client of a refused request retries if nothing better is known, as in the
+/// router.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Slots of a server.
 const SLOTS: u32 = 64;
 /// Time that a request runs.
@@ -47,29 +48,29 @@
 /// The subject that a part of all requests is about.
 const HOT: u64 = 7_777;
 
-/// What is played.
+/// Parameters of a simulation.
 #[derive(Debug, Clone)]
 pub(crate) struct Plan {
-    /// Boxes of each hall.
+    /// Number of boxes in each hall.
     pub(crate) boxes: Vec<u16>,
-    /// Servers of each hall.
+    /// Number of servers in each hall.
     pub(crate) servers: Vec<u16>,
     /// Requests a second.
     pub(crate) rate: f64,
     /// Part of them that is about one subject.
     pub(crate) hot: f64,
-    /// How long.
+    /// Simulated time.
     pub(crate) time: Duration,
-    /// How long clients come back that were refused; zero: never.
+    /// How long clients retry after a refusal; zero: not at all.
     pub(crate) patience: Duration,
-    /// What cold servers bear, and for how long they are cold.
+    /// What cold servers can take, and how long they are cold.
     pub(crate) cold: Cold,
-    /// The fleet's bound: so many times that, and so many more.
+    /// The fleet's bound: a multiple of that, and so many requests a second more.
     pub(crate) bound: (f64, f64),
 }
 
 /// One box.
-pub(crate) struct Desk {
+pub(crate) struct SimBox {
     pub(crate) name: ids::Box,
     pub(crate) hall: ids::Hall,
     pub(crate) fleet: Fleet,
@@ -77,40 +78,40 @@
     index: Index,
 }
 
-/// What came of it.
+/// The result of a simulation.
 #[derive(Debug, Default)]
 pub(crate) struct Outcome {
     /// Requests.
     pub(crate) asked: usize,
-    /// Refusals: no server took one.
+    /// Refusals: no server took the request.
     pub(crate) refused: usize,
-    /// Requests whose client gave up after refusals.
+    /// Requests that their clients gave up after refusals.
     pub(crate) lost: usize,
-    /// Time that clients waited to come back, in all.
+    /// Total time that requests waited, including their clients' waits between retries.
     pub(crate) waited: Duration,
-    /// Connections that found nobody.
+    /// Connection attempts to servers that were gone.
     pub(crate) absent: usize,
-    /// When each server got a request that it took.
+    /// When each server got a request that it accepted.
     pub(crate) arrivals: HashMap<ids::Server, Vec<Instant>>,
-    /// When each server got a request that it turned away.
+    /// When each server got a request that it rejected.
     pub(crate) turned: HashMap<ids::Server, Vec<Instant>>,
 }
 
 impl Outcome {
-    /// Most requests that one of some servers got within a second.
+    /// The most requests that any of the selected servers got within a second.
     pub(crate) fn busiest(&self, of: impl Fn(&ids::Server) -> bool) -> usize {
         let chosen = self.arrivals.iter().filter(|(server, _)| of(server));
         let busiest = chosen.map(|(_, at)| within_a_second(at)).max();
         busiest.unwrap_or(0)
     }
 
-    /// Most requests that all servers together took within so long.
+    /// The most requests that all servers together accepted within this time.
     pub(crate) fn busiest_together(&self, time: Duration) -> usize {
         let all: Vec<Instant> = self.arrivals.values().flatten().copied().collect();
         within(&all, time)
     }
 
-    /// Part of the requests that no server took.
+    /// Share of the requests that no server took.
     pub(crate) fn refused_part(&self) -> f64 {
         self.refused as f64 / self.asked.max(1) as f64
     }
@@ -131,12 +132,12 @@
     counts.max().unwrap_or(0)
 }
 
-/// A request that runs: its end, and what counts it. The order is that of ends,
-/// the first one greatest.
+/// A request that runs, with the guard that counts it. The order is that of the end times,
+/// with the earliest the greatest.
 struct Run {
     end: Instant,
     number: usize,
-    desk: usize,
+    box_index: usize,
     server: ids::Server,
     running: InFlight,
 }
@@ -161,35 +162,35 @@
     }
 }
 
-/// A refused request that comes back. The order is that of moments.
+/// A refused request that is retried. The order is that of the times.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Back {
+struct Retry {
     at: Instant,
     subject: u64,
     since: Instant,
 }
 
-/// Boxes and servers.
+/// The simulated boxes and servers.
 pub(crate) struct Sim {
     pub(crate) plan: Plan,
     pub(crate) start: Instant,
-    pub(crate) desks: Vec<Desk>,
+    pub(crate) sim_boxes: Vec<SimBox>,
     service: ids::Service,
-    /// Servers that are not there, and that nobody has told of.
+    /// Servers that are gone, without a report to any box.
     gone: RefCell<HashSet<ids::Server>>,
-    /// Servers that turn all away until a moment, and then ask for so much rest.
-    turning: RefCell<HashMap<ids::Server, (Instant, Duration)>>,
-    chance: RefCell<fastrand::Rng>,
+    /// Servers that reject all requests until a time, with the back-off that they request.
+    rejecting: RefCell<HashMap<ids::Server, (Instant, Duration)>>,
+    rng: RefCell<fastrand::Rng>,
 }
 
 impl Sim {
     /// All boxes know all servers, which are warm, and each other.
     pub(crate) fn new(plan: Plan, seed: u64) -> Result<Rc<Self>> {
         let start = Instant::now();
-        let mut desks = Vec::new();
+        let mut sim_boxes = Vec::new();
         for (hall, count) in plan.boxes.iter().enumerate() {
             for number in 0..*count {
-                desks.push(Desk {
+                sim_boxes.push(SimBox {
                     name: id(&format!("box-{hall}-{number}"))?,
                     hall: id(&format!("hall-{hall}"))?,
                     fleet: Fleet::default(),
@@ -201,18 +202,18 @@
         let sim = Self {
             plan,
             start,
-            desks,
+            sim_boxes,
             service: id(SERVICE)?,
             gone: RefCell::default(),
-            turning: RefCell::default(),
-            chance: RefCell::new(fastrand::Rng::with_seed(seed)),
+            rejecting: RefCell::default(),
+            rng: RefCell::new(fastrand::Rng::with_seed(seed)),
         };
-        for desk in &sim.desks {
-            let boxes = sim.desks.iter().map(|other| (&other.name, &other.hall));
-            desk.roster.set_members(&desk.name, boxes, start);
-            desk.roster.set_listed(start);
+        for sim_box in &sim.sim_boxes {
+            let boxes = sim.sim_boxes.iter().map(|other| (&other.name, &other.hall));
+            sim_box.roster.set_members(&sim_box.name, boxes, start);
+            sim_box.roster.set_listed(start);
             for server in sim.servers()? {
-                desk.fleet.announce(server, start);
+                sim_box.fleet.announce(server, start);
             }
         }
         Ok(Rc::new(sim))
@@ -239,80 +240,82 @@
         Ok(servers)
     }
 
-    /// Has some servers be cold for so much longer, as all boxes are told at once.
+    /// Makes some servers cold for this long, and announces it to all boxes at once.
     pub(crate) fn chill(&self, of: impl Fn(&Server) -> bool, cold: Duration) -> Result {
         for server in self.servers()?.into_iter().filter(of) {
-            for desk in &self.desks {
+            for sim_box in &self.sim_boxes {
                 let server = Server {
                     cold,
                     ..server.clone()
                 };
-                desk.fleet.announce(server, self.start);
+                sim_box.fleet.announce(server, self.start);
             }
         }
         Ok(())
     }
 
-    /// Has some servers be gone, without a word.
+    /// Makes some servers disappear without a report to any box.
     pub(crate) fn lose(&self, of: impl Fn(&Server) -> bool) -> Result {
         let lost = self.servers()?.into_iter().filter(of).map(|it| it.id);
         self.gone.borrow_mut().extend(lost);
         Ok(())
     }
 
-    /// Has some servers turn all away for the first `time`, and ask for `rest`.
+    /// Makes some servers reject all requests for the first `time`, and request a back-off
+    /// of `backoff`.
     pub(crate) fn turn_away(
         &self,
         of: impl Fn(&Server) -> bool,
         time: Duration,
-        rest: Duration,
+        backoff: Duration,
     ) -> Result {
-        let turning = self.servers()?.into_iter().filter(of);
-        let turning = turning.map(|it| (it.id, (self.start + time, rest)));
-        self.turning.borrow_mut().extend(turning);
+        let rejecting = self.servers()?.into_iter().filter(of);
+        let rejecting = rejecting.map(|it| (it.id, (self.start + time, backoff)));
+        self.rejecting.borrow_mut().extend(rejecting);
         Ok(())
     }
 
-    /// Whether a server turns a box away that sends there; the box hears for how long.
-    fn turns_away(&self, desk: &Desk, choice: &choose::Choice, now: Instant) -> bool {
-        let turning = self.turning.borrow();
-        let told = turning.get(&choice.backend.server.id);
-        let Some((_, rest)) = told.filter(|(until, _)| now < *until) else {
+    /// Whether the chosen server rejects the request. If so, the box learns of the
+    /// requested back-off.
+    fn rejects(&self, sim_box: &SimBox, choice: &choose::Choice, now: Instant) -> bool {
+        let rejecting = self.rejecting.borrow();
+        let rejection = rejecting.get(&choice.backend.server.id);
+        let Some((_, backoff)) = rejection.filter(|(until, _)| now < *until) else {
             return false;
         };
         let answer = Answer {
             status: 503,
             not_run: true,
-            retry_after: Some(*rest),
+            retry_after: Some(*backoff),
             ..Answer::default()
         };
-        desk.fleet.apply_answer(&choice.backend, &answer, now);
+        sim_box.fleet.apply_answer(&choice.backend, &answer, now);
         true
     }
 
-    /// The server that comes first for the hot subject.
+    /// The server that ranks first for the hot subject.
     pub(crate) fn hot_server(&self) -> Result<ids::Server> {
-        let desk = &self.desks[0];
-        let choice = self.choose(desk, &prompt(HOT), self.start, &[], Duration::ZERO);
+        let sim_box = &self.sim_boxes[0];
+        let choice = self.choose(sim_box, &prompt(HOT), self.start, &[], Duration::ZERO);
         let choice = choice.ok_or_else(|| eyre::eyre!("no server at all"))?;
         Ok(choice.backend.server.id.clone())
     }
 
     fn choose(
         &self,
-        desk: &Desk,
+        sim_box: &SimBox,
         prompt: &Prompt,
         now: Instant,
         tried: &[ids::Server],
-        patience: Duration,
+        max_wait: Duration,
     ) -> Option<choose::Choice> {
         let (overage, tolerance) = self.plan.bound;
         let gate = Admission {
             limit: Limit::new(self.plan.cold, overage, tolerance),
-            roster: &desk.roster,
-            max_wait: patience,
+            roster: &sim_box.roster,
+            max_wait,
         };
-        let ask = Criteria {
+        let criteria = Criteria {
             prompt: Some(prompt),
             copy_ms: Some(0.007),
             tried,
@@ -320,51 +323,59 @@
                 gate: Some(gate),
                 ..Filter::default()
             },
-            hall: &desk.hall,
+            hall: &sim_box.hall,
             not_resumable: false,
             connections: 1_000,
             crowd_factor: 2.0,
         };
-        choose::choose(&desk.fleet, &self.service, &ask, &desk.index, now)
+        choose::choose(
+            &sim_box.fleet,
+            &self.service,
+            &criteria,
+            &sim_box.index,
+            now,
+        )
     }
 
-    /// Plays it.
+    /// Runs the simulation.
     pub(crate) fn play(&self) -> Outcome {
         let mut outcome = Outcome::default();
         let mut runs: BinaryHeap<Run> = BinaryHeap::new();
         let mut held: HashMap<ids::Server, u32> = HashMap::new();
         let count = (self.plan.rate * self.plan.time.as_secs_f64()) as usize;
-        let mut back: BinaryHeap<Reverse<Back>> = BinaryHeap::new();
-        let mut fresh = 0;
+        let mut retries: BinaryHeap<Reverse<Retry>> = BinaryHeap::new();
+        let mut first_attempts = 0;
         for number in 0.. {
-            let next = self.start + self.plan.time.mul_f64(fresh as f64 / count as f64);
-            let returned = back.peek().is_some_and(|Reverse(it)| it.at <= next);
-            let returned = returned.then(|| back.pop()).flatten();
+            let next = self.start + self.plan.time.mul_f64(first_attempts as f64 / count as f64);
+            let returned = retries.peek().is_some_and(|Reverse(it)| it.at <= next);
+            let returned = returned.then(|| retries.pop()).flatten();
             let (now, returned) = match returned {
                 Some(Reverse(it)) => (it.at, Some(it)),
-                None if fresh == count => break,
+                None if first_attempts == count => break,
                 None => (next, None),
             };
             if returned.is_none() {
-                fresh += 1;
+                first_attempts += 1;
                 outcome.asked += 1;
             }
             while runs.peek().is_some_and(|run| run.end <= now) {
                 let Some(run) = runs.pop() else { break };
                 self.end(run, &mut held);
             }
-            let (desk, subject) = self.request(returned.as_ref().map(|it| it.subject));
+            let (box_index, subject) = self.request(returned.as_ref().map(|it| it.subject));
             let since = returned.map_or(now, |it| it.since);
             let prompt = prompt(subject);
-            let desk_of = &self.desks[desk];
-            let Some(choice) = self.there(desk_of, &prompt, now, &mut outcome) else {
+            let sim_box = &self.sim_boxes[box_index];
+            let Some(choice) = self.accepted(sim_box, &prompt, now, &mut outcome) else {
                 outcome.refused += 1;
-                let servers = desk_of.fleet.serving(&self.service);
-                let rest = fleet::earliest_backoff(servers.iter(), now);
-                let wait = rest.map_or(SOON, |rest| rest.retry_delay(fresh as u8 % 3, now));
+                let servers = sim_box.fleet.serving(&self.service);
+                let backoff = fleet::earliest_backoff(servers.iter(), now);
+                let wait = backoff.map_or(DEFAULT_RETRY_DELAY, |backoff| {
+                    backoff.retry_delay(first_attempts as u8 % 3, now)
+                });
                 let again = now + wait;
                 if self.plan.patience > again - since {
-                    back.push(Reverse(Back {
+                    retries.push(Reverse(Retry {
                         at: again,
                         subject,
                         since,
@@ -378,7 +389,7 @@
             if choice.cold.is_some() {
                 choice.backend.pace.sent(now);
             }
-            self.desks[desk]
+            self.sim_boxes[box_index]
                 .index
                 .record_local(&prompt, choice.backend.key, now);
             let server = choice.backend.server.id.clone();
@@ -392,7 +403,7 @@
             runs.push(Run {
                 end: now + RUN_TIME,
                 number,
-                desk,
+                box_index,
                 server,
                 running: choice.backend.run(choice.prefill_tokens as u64),
             });
@@ -400,21 +411,21 @@
         outcome
     }
 
-    /// The first server chosen that is there; `None` after too many that are not,
-    /// and where none is left to choose.
-    fn there(
+    /// Returns the first chosen server that is reachable and accepts the request; `None`
+    /// after too many unreachable servers or rejections, or if no server is left.
+    fn accepted(
         &self,
-        desk: &Desk,
+        sim_box: &SimBox,
         prompt: &Prompt,
         now: Instant,
         outcome: &mut Outcome,
     ) -> Option<choose::Choice> {
         let mut tried = Vec::new();
-        while tried.len() <= ABSENT_HOPEFUL_MAX {
-            let choice = self.choose(desk, prompt, now, &tried, Duration::ZERO);
-            let choice = choice.or_else(|| self.choose(desk, prompt, now, &tried, COLD_WAIT))?;
+        while tried.len() <= UNREACHABLE_MAX {
+            let choice = self.choose(sim_box, prompt, now, &tried, Duration::ZERO);
+            let choice = choice.or_else(|| self.choose(sim_box, prompt, now, &tried, COLD_WAIT))?;
             let server = &choice.backend.server.id;
-            if self.turns_away(desk, &choice, now) {
+            if self.rejects(sim_box, &choice, now) {
                 let turned = outcome.turned.entry(server.clone()).or_default();
                 turned.push(now);
                 tried.push(server.clone());
@@ -434,26 +445,26 @@
         None
     }
 
-    /// A request at some box, about a subject that is given if it comes back.
+    /// Picks a random box and, unless it is a retry with a given subject, a subject.
     fn request(&self, subject: Option<u64>) -> (usize, u64) {
-        let mut chance = self.chance.borrow_mut();
-        let desk = chance.usize(0..self.desks.len());
+        let mut rng = self.rng.borrow_mut();
+        let box_index = rng.usize(0..self.sim_boxes.len());
         if let Some(subject) = subject {
-            return (desk, subject);
+            return (box_index, subject);
         }
-        let subject = match chance.f64() < self.plan.hot {
+        let subject = match rng.f64() < self.plan.hot {
             true => HOT,
-            false => chance.u64(0..SUBJECTS),
+            false => rng.u64(0..SUBJECTS),
         };
-        (desk, subject)
+        (box_index, subject)
     }
 
-    /// Ends a request: the box hears the server's load with the answer.
+    /// Ends a request: the box learns the server's load from the answer.
     fn end(&self, run: Run, held: &mut HashMap<ids::Server, u32>) {
         let left = held.entry(run.server.clone()).or_default();
         *left = left.saturating_sub(1);
         let running = *left;
-        if let Some(backend) = self.desks[run.desk].fleet.get(&run.server) {
+        if let Some(backend) = self.sim_boxes[run.box_index].fleet.get(&run.server) {
             let load = Load {
                 running,
                 waiting: 0,
