--- a/crates/relay/src/rollout/evidence.rs
+++ b/crates/relay/src/rollout/evidence.rs
@@ -1,7 +1,7 @@
-//! What answers of two releases showed while an order holds, over all boxes.
+//! Statistics of the answers of both releases during a rollout, over all boxes.
 //!
-//! A box of a large fleet sees a few answers of a new release a second, so boxes tell
-//! each other what they counted. Older answers fade, as a release may turn bad later.
+//! A box of a large fleet sees only a few answers of a new release a second, so boxes
+//! report their counts to each other. Counts decay, as a release may become faulty later.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -17,53 +17,53 @@
 use crate::revision_serde;
 use crate::traffic::log::Peer;
 
-/// Time in which what was seen counts half.
-const HALF_TIME: Duration = Duration::from_secs(5);
-/// Age after which the report of another box no longer counts.
-const REPORT_AGE: Duration = Duration::from_millis(1_500);
-/// An answer is slow that takes so many times the usual time of its route, ...
+/// Half-life of the counts.
+const HALF_LIFE: Duration = Duration::from_secs(5);
+/// Age after which the report of another box is ignored.
+const REPORT_AGE_MAX: Duration = Duration::from_millis(1_500);
+/// An answer is slow if it takes more than this many times the usual time of its route, ...
 const SLOW_FACTOR: f64 = 3.5;
-/// ... and so much more than that.
+/// ... plus this.
 const SLOW_EXTRA: Duration = Duration::from_millis(150);
-/// Answers of a route from which its usual time is known.
-const USUAL_COUNT: f64 = 4.0;
-/// The weight of the newest answer in a route's usual time.
-const USUAL_PART: f64 = 0.05;
-/// Routes whose usual times are remembered; with more, the box forgets all and learns
-/// anew.
+/// Number of answers of a route from which its usual time is known.
+const USUAL_ANSWERS_MIN: f64 = 4.0;
+/// Weight of the newest answer in the usual time of a route.
+const USUAL_WEIGHT: f64 = 0.05;
+/// Maximum number of routes with a usual time. Beyond it the box drops all of them and
+/// learns them again.
 const ROUTES_MAX: usize = 1_024;
 
-/// How a request ended at a server.
+/// How a request to a server ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Outcome {
     /// With an answer.
     Answered {
-        /// Time to its beginning, without that of reading the prompt.
+        /// Time to the beginning of the answer, without prefill.
         first: Duration,
-        /// Time to its end, without that of reading the prompt.
+        /// Time to the end of the answer, without prefill.
         whole: Duration,
-        /// Whether the server was cold: its times say nothing.
+        /// Whether the server was cold, so that its times are no evidence.
         cold: bool,
     },
-    /// With a failure of the server's.
+    /// With a failure of the server.
     Failed,
-    /// With no answer in time.
+    /// Without an answer in time.
     Late,
 }
 
-/// What was counted of one release on one route.
+/// Decayed counts of one release on one route.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f32, f32, f32, u32, u32)", into = "(f32, f32, f32, u32, u32)")]
 pub struct Count {
-    /// Answers.
+    /// Number of answers.
     pub answers: f32,
-    /// Failures among them.
+    /// Number of failures among them.
     pub failed: f32,
-    /// Slow ones among them.
+    /// Number of slow ones among them.
     pub slow: f32,
-    /// The servers that gave them, each by one of 32 bits.
+    /// The servers that gave them, as a set of 32 hash bits.
     pub tried: u32,
-    /// Those that gave failures or slow ones.
+    /// The servers that gave failures or slow answers, as the same kind of set.
     pub bad: u32,
 }
 
@@ -93,7 +93,7 @@
 }
 
 impl Count {
-    /// Adds what was counted elsewhere.
+    /// Adds the counts of another box.
     pub fn add(&mut self, other: &Count) {
         self.answers += other.answers;
         self.failed += other.failed;
@@ -102,7 +102,7 @@
         self.bad |= other.bad;
     }
 
-    fn faded(&self, part: f32) -> Self {
+    fn decayed(&self, part: f32) -> Self {
         Self {
             answers: self.answers * part,
             failed: self.failed * part,
@@ -112,21 +112,21 @@
     }
 }
 
-/// Whose answers they are.
+/// What a count refers to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-#[serde(from = "Told", into = "Told")]
+#[serde(from = "Wire", into = "Wire")]
 pub struct Subject {
     /// Revision of the order.
     pub order: Revision,
-    /// Stands for the route.
+    /// Hash of the route's name.
     pub route: u32,
-    /// Whether they are of the new release.
+    /// Whether the answers are of the new release.
     pub target: bool,
 }
 
-/// A subject as messages carry it.
+/// A subject in its wire format.
 #[derive(Serialize, Deserialize)]
-struct Told {
+struct Wire {
     order: u64,
     #[serde(default, skip_serializing_if = "revision_serde::is_default_era")]
     era: u64,
@@ -134,17 +134,17 @@
     target: bool,
 }
 
-impl From<Told> for Subject {
-    fn from(told: Told) -> Self {
+impl From<Wire> for Subject {
+    fn from(wire: Wire) -> Self {
         Self {
-            order: Revision::new(Era(told.era), told.order),
-            route: told.route,
-            target: told.target,
+            order: Revision::new(Era(wire.era), wire.order),
+            route: wire.route,
+            target: wire.target,
         }
     }
 }
 
-impl From<Subject> for Told {
+impl From<Subject> for Wire {
     fn from(subject: Subject) -> Self {
         Self {
             order: subject.order.number(),
@@ -155,17 +155,17 @@
     }
 }
 
-/// What one side tells another.
+/// One count, as boxes report it to each other.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// Whose answers.
+    /// What the count refers to.
     pub subject: Subject,
-    /// What was counted.
+    /// The count.
     pub count: Count,
 }
 
-/// The usual times of a route, as means of logarithms of ms: one long answer is no
-/// slowness.
+/// The usual times of a route, as means of the logarithms of ms, so that one long answer
+/// has little influence.
 #[derive(Debug, Default, Clone, Copy)]
 struct Usual {
     first: f64,
@@ -176,7 +176,7 @@
 impl Usual {
     fn add(&mut self, first: Duration, whole: Duration) {
         self.count += 1.0;
-        let part = (1.0 / self.count).max(USUAL_PART);
+        let part = (1.0 / self.count).max(USUAL_WEIGHT);
         self.first += part * (log_ms(first) - self.first);
         self.whole += part * (log_ms(whole) - self.whole);
     }
@@ -186,7 +186,8 @@
             let usual = Duration::from_secs_f64(usual.exp() / 1e3);
             time > usual.mul_f64(SLOW_FACTOR) + SLOW_EXTRA
         };
-        self.count >= USUAL_COUNT && (exceeds(first, self.first) || exceeds(whole, self.whole))
+        self.count >= USUAL_ANSWERS_MIN
+            && (exceeds(first, self.first) || exceeds(whole, self.whole))
     }
 }
 
@@ -194,7 +195,7 @@
     (time.as_secs_f64() * 1e3).max(1.0).ln()
 }
 
-/// What this box saw, and what others told.
+/// The counts of this box, and those that other boxes reported.
 #[derive(Default)]
 pub struct Evidence {
     own: RefCell<BTreeMap<Subject, (Count, Instant)>>,
@@ -202,10 +203,10 @@
     reports: RefCell<HashMap<Peer, (Vec<Row>, Instant)>>,
 }
 
-/// One answer and where it came from.
+/// How one request to a server ended.
 pub struct Answer<'a> {
-    /// Revision of the order that holds for the service, if one does, and whether the
-    /// server runs the new release.
+    /// Revision of the valid order for the service, if there is one, and whether the server
+    /// runs the new release.
     pub order: Option<(Revision, bool)>,
     /// The service.
     pub service: &'a ids::Service,
@@ -213,7 +214,7 @@
     pub route: &'a str,
     /// The server.
     pub server: Key,
-    /// How it ended.
+    /// How the request ended.
     pub outcome: Outcome,
 }
 
@@ -227,7 +228,7 @@
             Outcome::Answered { cold: true, .. } => (0.0, 0.0),
             Outcome::Answered { first, whole, .. } => {
                 let is_target = answer.order.is_some_and(|(_, target)| target);
-                let slow = self.time(answer.service, route, is_target, first, whole);
+                let slow = self.is_slow_answer(answer.service, route, is_target, first, whole);
                 (0.0, if slow { 1.0 } else { 0.0 })
             }
         };
@@ -249,14 +250,14 @@
         };
         let mut own = self.own.borrow_mut();
         let (count, at) = own.entry(subject).or_insert((Count::default(), now));
-        *count = count.faded(weight(now.saturating_duration_since(*at)));
+        *count = count.decayed(weight(now.saturating_duration_since(*at)));
         count.add(&one);
         *at = now;
     }
 
-    /// Whether an answer was slow for its route; those of the other releases say what
-    /// is usual.
-    fn time(
+    /// Returns whether an answer was slow for its route. Only answers of the other releases
+    /// update the usual times.
+    fn is_slow_answer(
         &self,
         service: &ids::Service,
         route: u32,
@@ -276,10 +277,10 @@
         slow
     }
 
-    /// Takes over what another box told.
+    /// Stores the report of another box in place of its last one.
     pub fn report(&self, from: Peer, rows: Vec<Row>, now: Instant) {
         let mut reports = self.reports.borrow_mut();
-        reports.retain(|_, (_, at)| now.saturating_duration_since(*at) < REPORT_AGE);
+        reports.retain(|_, (_, at)| now.saturating_duration_since(*at) < REPORT_AGE_MAX);
         if rows.is_empty() {
             reports.remove(&from);
         } else {
@@ -287,13 +288,13 @@
         }
     }
 
-    /// Counts what was seen of an order for the same one as it was written again.
-    pub fn rename(&self, from: Revision, to: Revision) {
+    /// Moves the counts of an order to the revision under which it was rewritten.
+    pub fn move_counts(&self, from: Revision, to: Revision) {
         let mut own = self.own.borrow_mut();
-        let renamed = own.extract_if(.., |subject, _| subject.order == from);
-        let renamed: Vec<_> = renamed.collect();
-        let renamed = renamed.into_iter();
-        own.extend(renamed.map(|(subject, seen)| {
+        let moved = own.extract_if(.., |subject, _| subject.order == from);
+        let moved: Vec<_> = moved.collect();
+        let moved = moved.into_iter();
+        own.extend(moved.map(|(subject, seen)| {
             (
                 Subject {
                     order: to,
@@ -304,18 +305,18 @@
         }));
     }
 
-    /// Forgets orders that are over.
-    pub fn keep_only(&self, orders: &[Revision]) {
+    /// Drops the counts of all orders but these.
+    pub fn retain_orders(&self, orders: &[Revision]) {
         let mut own = self.own.borrow_mut();
         own.retain(|subject, _| orders.contains(&subject.order));
     }
 
-    /// What this box and those that ask it saw.
+    /// Counts of this box and of its members.
     pub fn of_hall(&self, now: Instant) -> Vec<Row> {
         self.sum(now, Peer::is_member)
     }
 
-    /// What all boxes saw that this one hears of.
+    /// Counts of all boxes that this one has reports of.
     pub fn all(&self, now: Instant) -> Vec<Row> {
         self.sum(now, |_| true)
     }
@@ -326,15 +327,15 @@
             let age = now.saturating_duration_since(*at);
             sum.entry(*subject)
                 .or_default()
-                .add(&count.faded(weight(age)));
+                .add(&count.decayed(weight(age)));
         }
         for (peer, (rows, at)) in &*self.reports.borrow() {
             let age = now.saturating_duration_since(*at);
-            if age >= REPORT_AGE || !of(peer) {
+            if age >= REPORT_AGE_MAX || !of(peer) {
                 continue;
             }
             for row in rows {
-                let count = row.count.faded(weight(age));
+                let count = row.count.decayed(weight(age));
                 sum.entry(row.subject).or_default().add(&count);
             }
         }
@@ -344,7 +345,7 @@
     }
 }
 
-/// How much something of an age counts.
+/// Weight of counts of this age.
 fn weight(age: Duration) -> f32 {
-    0.5f32.powf(age.as_secs_f32() / HALF_TIME.as_secs_f32())
+    0.5f32.powf(age.as_secs_f32() / HALF_LIFE.as_secs_f32())
 }
--- a/crates/relay/src/rollout/mod.rs
+++ b/crates/relay/src/rollout/mod.rs
@@ -1,23 +1,23 @@
-//! Moving a service's requests to another release of its servers.
+//! Rollouts: moving the requests of a service to another release of its servers.
 //!
-//! The operator orders it, and the release may be bad: some of its answers are
-//! failures or slow, at once or later, under load or on one route only. So it gets
-//! a small share of the requests first, on so few of its servers that these have as
-//! much to do as they will have; its answers are compared with those of the other
-//! servers of the service.
+//! The operator orders a rollout, and the release may be faulty: some of its answers fail
+//! or are slow, at once or later, under load or on one route only. So the release first
+//! gets a small share of the requests, on so few of its servers that each has as much load
+//! as after the rollout. Its answers are compared with those of the other servers of the
+//! service.
 //!
 //! * [`stage`]: how far an order has come, as the store keeps it for all boxes.
-//! * [`evidence`]: what answers of both releases showed, over all boxes.
-//! * [`judge`]: whether that condemns the new release.
+//! * [`evidence`]: statistics of the answers of both releases, over all boxes.
+//! * [`judge`]: whether these show that the new release is faulty.
 //! * [`plan`]: when the next step is taken.
 //!
 //! Invariants:
 //!
-//! * A box gives the new release its share of its own requests, by a count and not by
-//!   chance, so that all boxes together keep within the share, whatever each knows.
-//! * A box that cannot show that what it knows of an order is recent gives the new
-//!   release nothing while there are others.
-//! * What is older never replaces what is newer, whoever tells it.
+//! * A box counts out the new release's share of its own requests instead of drawing lots,
+//!   so that all boxes together keep within the share, whatever each of them knows.
+//! * A box that cannot confirm that its view of an order is recent gives the new release
+//!   nothing while there are servers of other releases.
+//! * Older state never replaces newer state, whoever reports it.
 
 pub mod evidence;
 pub mod judge;
@@ -42,13 +42,14 @@
 use evidence::Evidence;
 use stage::Stage;
 
-/// Requests of one server under the new release, in multiples of what it will have:
-/// a little less, so that a service's load of the moment does not overload it.
+/// Load of a server of the canary release, in multiples of its load after the rollout: a
+/// little less, so that a momentary peak of the service does not overload it.
 const LOAD_PART: f64 = 0.8;
-/// Fewest servers that are tried: fewer could all be bad by themselves.
-const TRIED_MIN: f64 = 6.0;
+/// Minimum number of servers of the canary release that get requests: fewer could all be
+/// bad for reasons of their own.
+const SERVERS_MIN: f64 = 6.0;
 
-/// An order as boxes tell it each other.
+/// An order as boxes report it to each other.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Row {
     service: ids::Service,
@@ -59,7 +60,7 @@
     /// The era of that revision.
     #[serde(default, skip_serializing_if = "revision_serde::is_default_era")]
     era: u64,
-    /// How far it has come, as of a revision; of an earlier order, if of any.
+    /// The stage and the number of its revision; possibly that of an earlier order.
     stage: Option<(Stage, u64)>,
     /// The era of that revision.
     #[serde(default, skip_serializing_if = "revision_serde::is_default_era")]
@@ -81,7 +82,7 @@
     /// The era of that revision.
     #[serde(default, skip_serializing_if = "revision_serde::is_default_era")]
     era: u64,
-    /// How long ago all this was provably the newest.
+    /// Confirmed age of the list, in ms.
     pub age_ms: Option<u64>,
 }
 
@@ -91,12 +92,12 @@
         self.rows.is_empty()
     }
 
-    /// The era of the store that it is of.
+    /// The era of the list's revisions.
     pub fn era(&self) -> Era {
         Era(self.era)
     }
 
-    /// The same of a box that knows no eras, as one of this era.
+    /// Sets the era of a list from a box that does not support eras.
     pub fn in_era(mut self, era: Era) -> Self {
         self.era = era.0;
         for row in &mut self.rows {
@@ -110,40 +111,40 @@
     }
 }
 
-/// An order that is known here.
+/// An order in the local view.
 #[derive(Debug, Clone)]
-pub struct Known {
+pub struct Rollout {
     /// The order.
     pub order: Order,
     /// Revision of the operator's entry.
     pub revision: Revision,
-    /// Whether the store has that entry: one that went back may lack it.
+    /// Whether the store has that entry; a restored store may lack it.
     pub stored: bool,
-    /// How far it has come.
+    /// How far the order has come.
     pub stage: Option<Stage>,
-    /// Revision of the entry that the store has of that, if it has one.
+    /// Revision of the stage entry in the store, if it has one.
     pub stage_revision: Revision,
-    /// Whether that entry says how far it has come.
+    /// Whether that entry holds the known stage.
     pub stage_stored: bool,
-    /// The era in which that was learned.
+    /// The era in which the stage was learned.
     stage_era: Era,
-    /// When that was learned, or else the order.
+    /// When the stage was learned, or the order if it has no stage.
     pub since: Instant,
 }
 
-impl Known {
-    /// Time since the order, as far as is known.
+impl Rollout {
+    /// Time since the order, as far as this box knows.
     pub fn elapsed(&self, now: Instant) -> Duration {
-        let before = self.stage.map_or(Duration::ZERO, |stage| stage.elapsed());
-        before + now.saturating_duration_since(self.since)
+        let previous = self.stage.map_or(Duration::ZERO, |stage| stage.elapsed());
+        previous + now.saturating_duration_since(self.since)
     }
 
-    /// How far it has come.
+    /// The state of the order.
     pub fn state(&self) -> State {
         self.stage.map_or(State::InProgress, |stage| stage.state)
     }
 
-    /// The part of the requests that the new release gets.
+    /// The share of the requests that the new release gets.
     pub fn share(&self) -> f64 {
         match self.state() {
             State::InProgress => self.stage.map_or(0.0, |stage| stage.share),
@@ -152,8 +153,8 @@
         }
     }
 
-    /// The same order has an entry of another era now.
-    fn written_again(&mut self, revision: Revision) {
+    /// Records that the same order has an entry of a newer era.
+    fn set_rewritten(&mut self, revision: Revision) {
         log::info!(
             target: "belief",
             "event=rollout_written_again service={} order={revision} before={}",
@@ -167,14 +168,14 @@
         }
     }
 
-    /// Whether the store went back behind how far it has come, so that it has to be
-    /// written again.
-    pub fn is_unwritten(&self) -> bool {
+    /// Whether the store was restored to a backup without the known stage, so that this has
+    /// to be rewritten.
+    pub fn needs_rewrite(&self) -> bool {
         self.stored && self.stage.is_some() && !self.stage_stored
     }
 
-    /// Whether a stage follows the known one. One of another era may be older.
-    fn advances(&self, stage: &Stage, revision: Revision) -> bool {
+    /// Whether a stage follows the known one. A stage of another era may be older.
+    fn is_followed_by(&self, stage: &Stage, revision: Revision) -> bool {
         let Some(known) = &self.stage else {
             return true;
         };
@@ -198,32 +199,32 @@
     }
 }
 
-/// Which servers of a service a request may go to while an order holds for it.
+/// Which servers of a service a request may go to while there is an order for it.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub enum Selector {
-    /// All.
+    /// All servers.
     #[default]
     Any,
-    /// Those of the new release that are tried so far.
+    /// The servers of the new release that get requests so far.
     Target {
         /// The release.
         release: Release,
-        /// The part of its servers that is tried.
+        /// The part of its servers that gets requests.
         part: f64,
-        /// Stands for the order: another one tries others first.
+        /// Number of the order; each order starts with other servers.
         order: u64,
     },
-    /// Those of all other releases.
+    /// The servers of all other releases.
     Others(Release),
 }
 
 impl Selector {
-    /// Whether it is a new release that is on trial.
+    /// Whether the new release is a canary: only a part of its servers gets requests.
     pub fn is_trial(&self) -> bool {
         matches!(self, Selector::Target { part, .. } if *part < 1.0)
     }
 
-    /// The servers of other releases.
+    /// Selects the servers of other releases instead.
     pub fn others(self) -> Self {
         match self {
             Selector::Target { release, .. } => Selector::Others(release),
@@ -231,7 +232,7 @@
         }
     }
 
-    /// Whether a server is among them.
+    /// Whether a server is selected.
     pub fn admits(&self, server: &Server) -> bool {
         match self {
             Selector::Any => true,
@@ -241,38 +242,46 @@
                 part,
                 order,
             } => {
-                let place = xxh3_64_with_seed(server.id.as_str().as_bytes(), *order);
-                let place = place as f64 / u64::MAX as f64;
-                server.release.as_ref() == Some(release) && place <= *part
+                let position = xxh3_64_with_seed(server.id.as_str().as_bytes(), *order);
+                let position = position as f64 / u64::MAX as f64;
+                server.release.as_ref() == Some(release) && position <= *part
             }
         }
     }
 }
 
-/// The orders that this box knows of.
+/// The orders in this box's local view.
 #[derive(Default)]
 pub struct Rollouts {
-    known: RefCell<BTreeMap<ids::Service, Known>>,
-    /// Services whose orders were taken back, each as of a revision.
-    back: RefCell<BTreeMap<ids::Service, Revision>>,
+    known: RefCell<BTreeMap<ids::Service, Rollout>>,
+    /// Services whose orders were cancelled, each with the revision of that.
+    cancelled: RefCell<BTreeMap<ids::Service, Revision>>,
     seen: Cell<Revision>,
-    /// When what is known was provably the newest.
-    proven: Cell<Option<Instant>>,
-    /// What is left over of the share of each service.
+    /// Time as of which the local view is confirmed current.
+    confirmed_at: Cell<Option<Instant>>,
+    /// Unused part of the new release's share, by service.
     credit: RefCell<BTreeMap<ids::Service, f64>>,
-    /// What answers showed.
+    /// Statistics of the answers.
     pub evidence: Evidence,
-    /// Notified when something else is known.
+    /// Notified when the local view changes.
     pub changed: Notifier,
 }
 
 impl Rollouts {
-    /// Records an order of a revision, unless what is known stands against it.
-    pub fn order(&self, order: Order, revision: Revision, hold: Option<Precedence>, now: Instant) {
-        self.see(revision);
-        let stands = |known: Revision| hold.is_some_and(|hold| hold.keeps(known, revision));
-        let back = self.back.borrow().get(&order.service).copied();
-        if back.is_some_and(|back| back >= revision || stands(back)) {
+    /// Records an order with its revision, unless the known state takes precedence over it.
+    pub fn order(
+        &self,
+        order: Order,
+        revision: Revision,
+        precedence: Option<Precedence>,
+        now: Instant,
+    ) {
+        self.observe(revision);
+        let is_kept = |known: Revision| {
+            precedence.is_some_and(|precedence| precedence.keeps(known, revision))
+        };
+        let cancelled = self.cancelled.borrow().get(&order.service).copied();
+        if cancelled.is_some_and(|cancelled| cancelled >= revision || is_kept(cancelled)) {
             return;
         }
         let mut all = self.known.borrow_mut();
@@ -281,15 +290,15 @@
                 known.stored |= known.revision == revision;
                 return;
             }
-            let before = known.revision;
-            if before.era() < revision.era() && known.order == order {
-                known.written_again(revision);
-                self.evidence.rename(before, revision);
+            let previous = known.revision;
+            if previous.era() < revision.era() && known.order == order {
+                known.set_rewritten(revision);
+                self.evidence.move_counts(previous, revision);
                 drop(all);
                 self.changed.notify();
                 return;
             }
-            if stands(before) {
+            if is_kept(previous) {
                 return;
             }
         }
@@ -300,14 +309,15 @@
             order.target,
             order.within.as_millis(),
         );
-        // The entry of how far an earlier order came is in the way of this one's.
-        let before = all.get(&order.service).map(|known| known.stage_revision);
-        let before = before.filter(|before| before.era() == revision.era());
-        let fresh = Known {
+        // The stage entry of an earlier order is to be replaced by that of this one, so its
+        // revision is kept.
+        let previous = all.get(&order.service).map(|known| known.stage_revision);
+        let previous = previous.filter(|previous| previous.era() == revision.era());
+        let fresh = Rollout {
             revision,
             stored: true,
             stage: None,
-            stage_revision: before.unwrap_or_default(),
+            stage_revision: previous.unwrap_or_default(),
             stage_stored: false,
             stage_era: revision.era(),
             since: now,
@@ -318,28 +328,30 @@
         self.changed.notify();
     }
 
-    /// Records that a service's order was taken back.
+    /// Records that the order of a service was cancelled.
     pub fn cancel(&self, service: &ids::Service, revision: Revision) {
-        self.see(revision);
+        self.observe(revision);
         let mut known = self.known.borrow_mut();
-        let before = known.get(service);
-        if before.is_some_and(|before| before.revision < revision) {
+        let previous = known.get(service);
+        if previous.is_some_and(|previous| previous.revision < revision) {
             known.remove(service);
-            self.back.borrow_mut().insert(service.clone(), revision);
+            self.cancelled
+                .borrow_mut()
+                .insert(service.clone(), revision);
             log::info!(target: "belief", "event=rollout_taken_back service={service}");
             drop(known);
             self.changed.notify();
         }
     }
 
-    /// Records that a list of the store as of a revision lacks a service's order, which
-    /// is thereby taken back, unless what is known stands against that.
-    pub fn missing(&self, service: &ids::Service, seen: Revision, hold: Option<Precedence>) {
+    /// Records that a list of the store at a revision lacks the order of a service. This
+    /// cancels the order, unless the known state takes precedence.
+    pub fn missing(&self, service: &ids::Service, seen: Revision, precedence: Option<Precedence>) {
         let mut all = self.known.borrow_mut();
         let Some(known) = all.get_mut(service) else {
             return;
         };
-        if hold.is_some_and(|hold| hold.is_former(known.revision)) {
+        if precedence.is_some_and(|precedence| precedence.is_former(known.revision)) {
             known.stored = false;
             return;
         }
@@ -347,8 +359,8 @@
         self.cancel(service, seen);
     }
 
-    /// Records that the store went back to an older copy: what it has of how far orders
-    /// have come is not known.
+    /// Records that the store was restored from an older backup: which stage entries it has
+    /// is unknown now.
     pub fn restored(&self) {
         for known in self.known.borrow_mut().values_mut() {
             known.stage_revision = Revision::default();
@@ -356,7 +368,7 @@
         }
     }
 
-    /// Records that the store has no entry of how far a service's order has come.
+    /// Records that the store has no stage entry for a service.
     pub fn stage_missing(&self, service: &ids::Service) {
         if let Some(known) = self.known.borrow_mut().get_mut(service) {
             known.stage_revision = Revision::default();
@@ -364,8 +376,8 @@
         }
     }
 
-    /// Records how far a service's order has come, as an entry of a revision tells, or as
-    /// another box knows it that the store lacks.
+    /// Records the stage of a service's order. It is from an entry with this revision, or
+    /// from another box that knows a stage that the store lacks.
     pub fn stage(&self, service: &ids::Service, stage: Stage, revision: Revision, now: Instant) {
         let mut all = self.known.borrow_mut();
         let Some(known) = all.get_mut(service) else {
@@ -379,11 +391,11 @@
             known.stage_revision = revision;
             known.stage_stored = false;
         }
-        // An entry of an earlier order says nothing of this one.
+        // An entry of an earlier order says nothing about this one.
         if stage.order != known.revision.number() {
             return;
         }
-        if !known.advances(&stage, revision) {
+        if !known.is_followed_by(&stage, revision) {
             if is_entry && known.stage == Some(stage) {
                 known.stage_stored = true;
                 known.stage_era = revision.era();
@@ -408,25 +420,25 @@
         self.changed.notify();
     }
 
-    /// Takes over the whole state that another box or the store tells. Returns whether
-    /// what is known here is the same now.
-    pub fn merge(&self, list: &List, hold: Option<Precedence>, now: Instant) -> bool {
+    /// Merges the complete state of another box or of the store. Returns whether the local
+    /// view equals it afterwards.
+    pub fn merge(&self, list: &List, precedence: Option<Precedence>, now: Instant) -> bool {
         for known in self.all() {
             let service = &known.order.service;
             if !list.rows.iter().any(|row| row.service == *service) {
-                self.missing(service, list.seen(), hold);
+                self.missing(service, list.seen(), precedence);
             }
         }
         for row in &list.rows {
-            self.merge_row(row, hold, now);
+            self.merge_row(row, precedence, now);
         }
-        self.see(list.seen());
-        let same = |known: &Known| list.rows.contains(&known.row());
+        self.observe(list.seen());
+        let same = |known: &Rollout| list.rows.contains(&known.row());
         let known = self.known.borrow();
         known.len() == list.rows.len() && known.values().all(same)
     }
 
-    fn merge_row(&self, row: &Row, hold: Option<Precedence>, now: Instant) {
+    fn merge_row(&self, row: &Row, precedence: Option<Precedence>, now: Instant) {
         let target = match row.target.parse() {
             Ok(target) => target,
             Err(error) => {
@@ -439,15 +451,15 @@
             target,
             within: Duration::from_millis(row.within_ms),
         };
-        self.order(order, row.revision(), hold, now);
+        self.order(order, row.revision(), precedence, now);
         if let Some((stage, number)) = row.stage {
             let revision = Revision::new(Era(row.stage_era), number);
             self.stage(&row.service, stage, revision, now);
         }
     }
 
-    /// Takes over orders that another box knows of former eras, and how far they came;
-    /// what it does not know is taken back by nobody.
+    /// Merges the orders that another box knows from stale eras, with their stages. An
+    /// order that it does not know is not cancelled.
     pub fn recall(&self, list: &List, now: Instant) {
         for row in &list.rows {
             let known = self.of(&row.service);
@@ -457,53 +469,53 @@
         }
     }
 
-    /// The whole state, for other boxes.
+    /// Returns the complete state, for other boxes.
     pub fn list(&self, now: Instant) -> List {
         let age = self.age(now);
         List {
-            rows: self.known.borrow().values().map(Known::row).collect(),
+            rows: self.known.borrow().values().map(Rollout::row).collect(),
             seen: self.seen.get().number(),
             era: self.seen.get().era().0,
-            // Rounded up, so that it never looks younger.
+            // Rounded up, so that it is never less than the real age.
             age_ms: age.map(|age| age.as_millis() as u64 + 1),
         }
     }
 
-    /// All orders.
-    pub fn all(&self) -> Vec<Known> {
+    /// Returns all orders.
+    pub fn all(&self) -> Vec<Rollout> {
         self.known.borrow().values().cloned().collect()
     }
 
-    /// The order for a service.
-    pub fn of(&self, service: &ids::Service) -> Option<Known> {
+    /// Returns the order of a service.
+    pub fn of(&self, service: &ids::Service) -> Option<Rollout> {
         self.known.borrow().get(service).cloned()
     }
 
-    fn see(&self, revision: Revision) {
+    fn observe(&self, revision: Revision) {
         self.seen.set(self.seen.get().max(revision));
     }
 
-    /// Records that what is known was the newest at `asked`.
-    pub fn confirm_at(&self, asked: Instant) {
-        if self.proven.get().is_none_or(|earlier| earlier < asked) {
-            self.proven.set(Some(asked));
+    /// Records that the local view is confirmed current as of `at`.
+    pub fn confirm_at(&self, at: Instant) {
+        if self.confirmed_at.get().is_none_or(|earlier| earlier < at) {
+            self.confirmed_at.set(Some(at));
         }
     }
 
-    /// How long ago what is known was provably the newest.
+    /// Returns the confirmed age of the local view.
     pub fn age(&self, now: Instant) -> Option<Duration> {
-        let proven = self.proven.get();
-        proven.map(|at| now.saturating_duration_since(at))
+        let confirmed_at = self.confirmed_at.get();
+        confirmed_at.map(|at| now.saturating_duration_since(at))
     }
 
-    /// Where the next sending of a request goes. `again`: it was sent before, so that
-    /// its caller waits already; a release that is on trial gets no such request.
-    /// `servers`: how many servers of a release take requests.
+    /// Selects the servers for the next attempt of a request. `again`: the request is a
+    /// retry, so that its client is waiting already; a canary release gets no retries.
+    /// `servers` returns how many servers of a release take requests.
     pub fn release_selector(
         &self,
         service: &ids::Service,
-        again: bool,
-        trust: Duration,
+        retry: bool,
+        age_max: Duration,
         servers: impl Fn(&Release) -> usize,
         now: Instant,
     ) -> Selector {
@@ -513,18 +525,18 @@
         };
         let release = known.order.target.clone();
         if known.state() == State::Completed {
-            return whole(release, known.revision.number());
+            return all_servers(release, known.revision.number());
         }
-        let recent = self.age(now).is_some_and(|age| age < trust);
+        let recent = self.age(now).is_some_and(|age| age < age_max);
         let share = if recent { known.share() } else { 0.0 };
         if share >= 1.0 {
-            return whole(release, known.revision.number());
+            return all_servers(release, known.revision.number());
         }
-        if again || !self.take_credit(service, share) {
+        if retry || !self.take_credit(service, share) {
             return Selector::Others(release);
         }
         let count = servers(&release).max(1) as f64;
-        let part = (share / LOAD_PART).max(TRIED_MIN / count).min(1.0);
+        let part = (share / LOAD_PART).max(SERVERS_MIN / count).min(1.0);
         Selector::Target {
             release,
             part,
@@ -532,8 +544,8 @@
         }
     }
 
-    /// Whether one more request is the new release's. Boxes begin at different places,
-    /// so that those with few requests add up to the share as well.
+    /// Whether one more request goes to the new release. Each box starts with random
+    /// credit, so that boxes with few requests add up to the share as well.
     fn take_credit(&self, service: &ids::Service, share: f64) -> bool {
         let mut all = self.credit.borrow_mut();
         let credit = all.entry(service.clone()).or_insert_with(fastrand::f64);
@@ -546,7 +558,7 @@
     }
 }
 
-fn whole(release: Release, order: u64) -> Selector {
+fn all_servers(release: Release, order: u64) -> Selector {
     Selector::Target {
         release,
         part: 1.0,
--- a/crates/relay/src/rollout/stage.rs
+++ b/crates/relay/src/rollout/stage.rs
@@ -1,4 +1,4 @@
-//! How far an order has come, as it lies in the store.
+//! How far an order has come, as stored for all boxes.
 
 use std::time::Duration;
 
@@ -6,44 +6,46 @@
 use tidepier_core::rollout::State;
 use tidepier_ids as ids;
 
-/// Beginning of the keys under which boxes keep how far orders have come.
-const KEYS: &str = "tidepier/rollouts/";
+/// Prefix of the keys of the stages.
+const KEY_PREFIX: &str = "tidepier/rollouts/";
 
-/// The key of how far the order for a service has come.
+/// The key of the stage of a service's order.
 pub fn key(service: &ids::Service) -> String {
-    format!("{KEYS}{service}")
+    format!("{KEY_PREFIX}{service}")
 }
 
-/// The service whose order a key is of.
+/// The service that a stage's key belongs to.
 pub fn service(key: &str) -> Option<ids::Service> {
-    key.strip_prefix(KEYS)?.parse().ok()
+    key.strip_prefix(KEY_PREFIX)?.parse().ok()
 }
 
-/// One entry.
+/// The stage of an order, as stored.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Stage {
-    /// Number of the revision of the order's own entry. The store goes back with both, so
-    /// that it is of the same order in any era in which the store has both.
+    /// Number of the revision of the order's own entry. A restore of the store affects both
+    /// entries, so that the number refers to the same order in any era in which the store
+    /// has both.
     pub order: u64,
-    /// How far it has come.
-    #[serde(with = "Told")]
+    /// State of the order.
+    #[serde(with = "StateText")]
     pub state: State,
-    /// The part of the requests that the new release gets.
+    /// The share of the requests that the new release gets.
     pub share: f64,
-    /// Time from the order to this, in ms, by the clock of who wrote it.
+    /// Time from the order to this stage in ms, by the clock of the box that wrote it.
     pub elapsed_ms: u64,
 }
 
 #[derive(Serialize, Deserialize)]
 #[serde(remote = "State", rename_all = "snake_case")]
-enum Told {
+enum StateText {
     InProgress,
     Completed,
     RolledBack,
 }
 
 impl Stage {
-    /// Time from the order to this.
+    /// Time from the order to this stage.
+    ///
     pub fn elapsed(&self) -> Duration {
         Duration::from_millis(self.elapsed_ms)
     }
--- a/crates/relay/src/rollout_controller.rs
+++ b/crates/relay/src/rollout_controller.rs
@@ -1,8 +1,9 @@
-//! Taking the steps of orders to move services between releases.
+//! Carries out rollout orders step by step.
 //!
-//! Any hub may take them: each writes under the condition that the order and what it
-//! knows of it are the newest, so that two do no harm, and none is waited for. The
-//! first one in the order of halls goes ahead; the next ones step in a little later.
+//! Any hub may take a step: each writes it on the condition that its view of the order and
+//! of the stage is the newest, so that two hubs do no harm and none waits for another. The
+//! first hub in the priority order of the halls acts at once, the others a little later
+//! each.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -23,113 +24,112 @@
 use crate::rollout::judge::{self, Fault};
 use crate::rollout::plan::{self, Observation, Step};
 use crate::rollout::stage::{self, Stage};
-use crate::rollout::Known;
+use crate::rollout::Rollout;
 
-/// Time between two looks at orders that are under way.
-const LOOK_TIME: Duration = Duration::from_millis(150);
-/// Time for which a step was due before the hub of the next hall takes it.
-const NEXT_TIME: Duration = Duration::from_millis(700);
-/// Longest time for one write.
-const CALL_TIME: Duration = Duration::from_millis(600);
-/// How long nothing is written after a call that failed.
-const PAUSE: Duration = Duration::from_millis(300);
+/// Interval between two evaluations of the orders in progress.
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(150);
+/// Time for which a step has to be due before the hub of the next hall takes it.
+const TAKEOVER_DELAY: Duration = Duration::from_millis(700);
+/// Time-out for one write.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(600);
+/// Retry delay after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// What is remembered of one service between two looks.
+/// State kept per service between two evaluations.
 #[derive(Default)]
-struct Memory {
+struct Pending {
     /// The step that is due, and since when.
     due: Option<(Step, Instant)>,
-    /// Since when nothing runs at servers of other releases.
+    /// Since when no request is in flight at servers of other releases.
     idle: Option<Instant>,
 }
 
-/// Takes steps while this box is the hub of its hall, or has no others beside it; does
-/// not end.
+/// Takes steps while this box is the hub of its hall or the only box. Never returns.
 pub(crate) async fn run(
     follower: Rc<Follower>,
     store: Rc<Client>,
     registry: Option<Rc<Registry>>,
 ) -> Infallible {
-    let mut memories: BTreeMap<ids::Service, Memory> = BTreeMap::new();
+    let mut pending: BTreeMap<ids::Service, Pending> = BTreeMap::new();
     let rollouts = &follower.relay().rollouts;
     loop {
         let known = rollouts.all();
         let orders: Vec<Revision> = known.iter().map(|known| known.revision).collect();
-        rollouts.evidence.keep_only(&orders);
-        let open = |known: &Known| known.state() == State::InProgress || known.is_unwritten();
+        rollouts.evidence.retain_orders(&orders);
+        let open = |known: &Rollout| known.state() == State::InProgress || known.needs_rewrite();
         if !known.iter().any(open) {
-            memories.clear();
+            pending.clear();
             rollouts.changed.wait().await;
             continue;
         }
-        let place = match &registry {
+        let hall_rank = match &registry {
             None => Some(0),
             Some(registry) if follower.relay().traffic.is_hub() => Some(halls_before(registry)),
             Some(_) => None,
         };
-        if let Some(place) = place {
+        if let Some(hall_rank) = hall_rank {
             for known in known.into_iter().filter(open) {
-                let memory = memories.entry(known.order.service.clone()).or_default();
-                conduct(&follower, &store, &known, memory, place).await;
+                let pending = pending.entry(known.order.service.clone()).or_default();
+                evaluate(&follower, &store, &known, pending, hall_rank).await;
             }
         }
         let pause = async {
-            Timer::after(LOOK_TIME).await;
+            Timer::after(EVALUATION_INTERVAL).await;
         };
         pause.or(rollouts.changed.wait()).await;
     }
 }
 
-/// How many halls come before this box's own.
+/// Number of halls that come before this box's own in the priority order.
 fn halls_before(registry: &Registry) -> u32 {
     let halls = registry.other_halls();
     let before = halls.iter().filter(|hall| **hall < registry.me.hall);
     before.count() as u32
 }
 
-async fn conduct(
+async fn evaluate(
     follower: &Follower,
     store: &Client,
-    known: &Known,
-    memory: &mut Memory,
-    place: u32,
+    known: &Rollout,
+    pending: &mut Pending,
+    hall_rank: u32,
 ) {
     let now = Instant::now();
-    let look = look(follower, known, memory, now);
+    let observation = observation(follower, known, pending, now);
     let step = match known.stage {
-        Some(_) if known.is_unwritten() => Step::Rewrite,
-        _ => plan::step(&look),
+        Some(_) if known.needs_rewrite() => Step::Rewrite,
+        _ => plan::step(&observation),
     };
     if step == Step::Wait {
-        memory.due = None;
+        pending.due = None;
         return;
     }
-    let since = match memory.due {
+    let since = match pending.due {
         Some((due, since)) if due == step => since,
         _ => {
-            memory.due = Some((step, now));
+            pending.due = Some((step, now));
             now
         }
     };
-    if now.saturating_duration_since(since) < NEXT_TIME * place {
+    if now.saturating_duration_since(since) < TAKEOVER_DELAY * hall_rank {
         return;
     }
-    let Some(stage) = next(step, known, &look) else {
+    let Some(stage) = stage_after(step, known, &observation) else {
         return;
     };
-    note(known, &stage, &look);
-    if let Err(failure) = write(follower, store, known, stage).await {
+    log_step(known, &stage, &observation);
+    if let Err(failure) = write_stage(follower, store, known, stage).await {
         log::warn!(
             target: "belief",
             "event=store_call_failed call=rollout why={} detail=\"{failure}\"",
             failure.name()
         );
-        Timer::after(PAUSE).await;
+        Timer::after(RETRY_DELAY).await;
     }
 }
 
 /// The stage that a step leads to.
-fn next(step: Step, known: &Known, look: &Observation) -> Option<Stage> {
+fn stage_after(step: Step, known: &Rollout, observation: &Observation) -> Option<Stage> {
     let (state, share) = match step {
         Step::Wait => return None,
         Step::Rewrite => return known.stage,
@@ -141,37 +141,42 @@
         order: known.revision.number(),
         state,
         share,
-        elapsed_ms: u64::try_from(look.elapsed.as_millis()).unwrap_or(u64::MAX),
+        elapsed_ms: u64::try_from(observation.elapsed.as_millis()).unwrap_or(u64::MAX),
     })
 }
 
-/// What is known of an order now.
-fn look(follower: &Follower, known: &Known, memory: &mut Memory, now: Instant) -> Observation {
+/// Returns the current observations on an order.
+fn observation(
+    follower: &Follower,
+    known: &Rollout,
+    pending: &mut Pending,
+    now: Instant,
+) -> Observation {
     let relay = follower.relay();
     let (service, target) = (&known.order.service, &known.order.target);
     let rows = relay.rollouts.evidence.all(now);
     let running = relay.in_flight_on_other_releases(service, target, now);
-    memory.idle = (running == 0).then(|| memory.idle.unwrap_or(now));
+    pending.idle = (running == 0).then(|| pending.idle.unwrap_or(now));
     let serving = relay.fleet.serving(service);
     Observation {
         stage: known.stage,
         elapsed: known.elapsed(now),
-        staged: now.saturating_duration_since(known.since),
+        stage_age: now.saturating_duration_since(known.since),
         within: known.order.within,
-        serves: serving
+        has_servers: serving
             .iter()
             .any(|it| it.server.release.as_ref() == Some(target)),
         fault: judge::judge(&rows, known.revision),
         answers: judge::answers(&rows, known.revision),
-        idle: memory
+        idle: pending
             .idle
             .map_or(Duration::ZERO, |since| now.saturating_duration_since(since)),
         max_exposure: relay.bounds().exposure,
     }
 }
 
-fn note(known: &Known, stage: &Stage, look: &Observation) {
-    let why = look.fault.as_ref().map(Fault::to_string);
+fn log_step(known: &Rollout, stage: &Stage, observation: &Observation) {
+    let why = observation.fault.as_ref().map(Fault::to_string);
     log::info!(
         target: "belief",
         "event=rollout_step service={} target={} state={} share={:.3} elapsed_ms={} answers={:.0} \
@@ -181,33 +186,37 @@
         stage.state,
         stage.share,
         stage.elapsed_ms,
-        look.answers,
-        look.idle.as_millis(),
+        observation.answers,
+        observation.idle.as_millis(),
         why.as_deref().unwrap_or("-"),
     );
     metrics::counter!("tidepier_rollout_steps_total", "state" => stage.state.name()).increment(1);
 }
 
-/// Writes a stage and what the operator is told, if nothing else was written meanwhile.
-async fn write(
+/// Writes a stage and the status for the operator, unless something else was written
+/// meanwhile.
+async fn write_stage(
     follower: &Follower,
     store: &Client,
-    known: &Known,
+    known: &Rollout,
     stage: Stage,
 ) -> Result<(), Failure> {
     let service = &known.order.service;
-    let (order, own) = (key::rollout(service), stage::key(service));
+    let (order, stage_key) = (key::rollout(service), stage::key(service));
     let status = key::rollout_state(service);
-    let expected = [(&*order, known.revision), (&*own, known.stage_revision)];
+    let expected = [
+        (&*order, known.revision),
+        (&*stage_key, known.stage_revision),
+    ];
     let value = serde_json::to_vec(&stage);
     let value = value.map_err(|error| Failure::Malformed(error.to_string()))?;
-    let told = wire::encode_state(stage.state, &known.order.target);
-    let writes = [(&*own, &*value), (&*status, &*told)].map(|(key, value)| Write {
+    let status_value = wire::encode_state(stage.state, &known.order.target);
+    let writes = [(&*stage_key, &*value), (&*status, &*status_value)].map(|(key, value)| Write {
         key,
         value,
         lease: None,
     });
-    let swap = store.swap(&expected, &writes, &[], CALL_TIME).await?;
+    let swap = store.swap(&expected, &writes, &[], WRITE_TIMEOUT).await?;
     match swap {
         Swap::Done(revision) => {
             let rollouts = &follower.relay().rollouts;
@@ -216,7 +225,7 @@
         Swap::Conflict(Current::Items(items)) => follower.take_stages(&items),
         Swap::EraChanged => log::warn!(
             target: "belief",
-            "event=rollout_step_void service={service} why=\"the store went back to a copy\""
+            "event=rollout_step_void service={service} why=\"the store was restored from an older backup\""
         ),
         Swap::Conflict(Current::NotReported) | Swap::LeaseExpired => {}
     }
--- a/crates/relay/tests/relay/rollouts.rs
+++ b/crates/relay/tests/relay/rollouts.rs
@@ -1,10 +1,10 @@
-//! Services that are moved to another release: what a bad one gets, how soon it is
-//! known, and whether a good one is condemned.
+//! Rollouts: how many requests a faulty release gets, how soon the fault is found, and
+//! whether a good release is ever taken for faulty.
 //!
-//! Pattern: the operator orders a release that is good, or one of which half of the
-//! answers fail or are slow, at once, later or on one route. The driver has no network:
-//! requests come at a steady pace, each box gives the new release its share, all answers
-//! are counted in one place, and what is decided is in force a second later.
+//! The operator orders a release that is good, or one with half of its answers failing or
+//! slow, at once, later or on one route. The simulation has no network: requests come at a
+//! steady rate, each box gives the new release its share, all answers are counted in one
+//! place, and a step takes effect a second after its decision.
 
 use std::time::Duration;
 
@@ -27,23 +27,23 @@
 use crate::choice_harness::{id, server};
 use crate::harness::{ms, run, server_settings, site, wait_until, Harness, Result, SERVICE};
 
-/// The order.
+/// Revision of the order.
 const ORDER: Revision = Revision::of(7);
-/// Share of the requests that a bad release may get, ...
+/// Share of the requests that a faulty release may get, ...
 const SHARE: f64 = 0.1;
-/// ... and so many more.
+/// ... plus this many.
 const TOLERANCE: f64 = 50.0;
-/// A bad release gets nothing so long after its fiftieth bad answer.
+/// A faulty release gets nothing from this long after its fiftieth bad answer.
 const ROLLBACK: Duration = Duration::from_secs(5);
 /// Time that the order gives.
 const WITHIN: Duration = Duration::from_secs(16);
 /// Requests a second.
 const RATE: u32 = 280;
-/// Time until all boxes know a step.
-const KNOWN_AFTER: Duration = Duration::from_millis(1_000);
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(150);
-/// Servers of either release.
+/// Time until all boxes know of a step.
+const STEP_DELAY: Duration = Duration::from_millis(1_000);
+/// Interval between two evaluations.
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(150);
+/// Servers of each release.
 const SERVERS: u16 = 60;
 const ROUTES: [&str; 3] = ["r-1", "r-2", "r-3"];
 
@@ -51,23 +51,24 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Kind {
     Good,
-    /// A tenth of its servers fail half of their requests, as some of the old ones do.
-    Grey,
+    /// A tenth of its servers fail half of their requests, and so do some servers of the
+    /// old release.
+    FailsOnSomeServers,
     Fails,
     Slow,
-    /// It fails from so long after the order.
-    Late(Duration),
+    /// It fails from this long after the order.
+    FailsLater(Duration),
     /// It fails on one route.
-    OneRoute,
+    FailsOnOneRoute,
 }
 
-/// What came of an order.
+/// The result of a rollout.
 struct Outcomes {
     state: State,
-    /// Requests of the new release, and of both.
-    got: u32,
+    /// Requests to the new release, and to both releases.
+    target_requests: u32,
     all: u32,
-    /// When its fiftieth bad answer came, and its last request.
+    /// When the fiftieth bad answer came, and the last request to the new release.
     fiftieth: Option<Duration>,
     last: Duration,
 }
@@ -76,9 +77,9 @@
     Ok(Key::new(&id(&format!("i-{number}"))?))
 }
 
-/// How one answer ends, and whether it is a bad one.
+/// How one request ends, and whether the answer is a bad one.
 fn answer(kind: Kind, target: bool, number: u16, route: usize, at: Duration) -> (Outcome, bool) {
-    // Answers differ, and a few of any release are slow or fail.
+    // Times vary, and a few answers of any release are slow or fail.
     let took = Duration::from_secs_f64(0.06 * (0.5 + 2.0 * fastrand::f64().powi(3)));
     let answered = |took| Outcome::Answered {
         first: took,
@@ -89,7 +90,7 @@
     let bad = match kind {
         _ if fastrand::f64() < 0.01 => return (Outcome::Failed, false),
         _ if fastrand::f64() < 0.02 => return (answered(10 * took), false),
-        Kind::Grey => {
+        Kind::FailsOnSomeServers => {
             return match number.is_multiple_of(10) && half {
                 true => (Outcome::Failed, false),
                 false => (answered(took), false),
@@ -98,8 +99,8 @@
         _ if !target => false,
         Kind::Good => false,
         Kind::Fails | Kind::Slow => half,
-        Kind::Late(from) => half && at >= from,
-        Kind::OneRoute => half && route == 0,
+        Kind::FailsLater(from) => half && at >= from,
+        Kind::FailsOnOneRoute => half && route == 0,
     };
     match (bad, kind) {
         (false, _) => (answered(took), false),
@@ -108,23 +109,23 @@
     }
 }
 
-/// Plays an order.
-fn play(kind: Kind, seed: u64) -> Result<Outcomes> {
+/// Simulates a rollout.
+fn simulate(kind: Kind, seed: u64) -> Result<Outcomes> {
     fastrand::seed(seed);
     let evidence = Evidence::default();
     let service: ids::Service = id(SERVICE)?;
     let start = Instant::now();
     let mut stage = None;
     let mut known: Vec<(Duration, f64)> = Vec::new();
-    let (mut staged, mut credit, mut bad) = (Duration::ZERO, 0.0, 0);
+    let (mut staged_at, mut credit, mut bad) = (Duration::ZERO, 0.0, 0);
     let mut outcomes = Outcomes {
         state: State::InProgress,
-        got: 0,
+        target_requests: 0,
         all: 0,
         fiftieth: None,
         last: Duration::ZERO,
     };
-    let (mut looked, gap) = (Duration::ZERO, Duration::from_secs(1) / RATE);
+    let (mut evaluated_at, gap) = (Duration::ZERO, Duration::from_secs(1) / RATE);
     let mut at = Duration::ZERO;
     while at < WITHIN {
         at += gap;
@@ -134,7 +135,7 @@
         let target = credit >= 1.0;
         if target {
             credit -= 1.0;
-            outcomes.got += 1;
+            outcomes.target_requests += 1;
             outcomes.last = at;
         }
         outcomes.all += 1;
@@ -158,23 +159,23 @@
             outcome,
         };
         evidence.record_answer(&answer, start + at);
-        if at - looked < LOOK {
+        if at - evaluated_at < EVALUATION_INTERVAL {
             continue;
         }
-        looked = at;
+        evaluated_at = at;
         let rows = evidence.all(start + at);
-        let look = Observation {
+        let observation = Observation {
             stage,
             elapsed: at,
-            staged: at - staged,
+            stage_age: at - staged_at,
             within: WITHIN,
-            serves: true,
+            has_servers: true,
             fault: judge::judge(&rows, ORDER),
             answers: judge::answers(&rows, ORDER),
-            idle: at - staged,
+            idle: at - staged_at,
             max_exposure: SHARE,
         };
-        let (state, share) = match plan::step(&look) {
+        let (state, share) = match plan::step(&observation) {
             Step::Wait | Step::Rewrite => continue,
             Step::Share(share) => (State::InProgress, share),
             Step::Complete => (State::Completed, 1.0),
@@ -187,58 +188,58 @@
             share,
             elapsed_ms,
         });
-        staged = at;
+        staged_at = at;
         outcomes.state = state;
-        known.push((at + KNOWN_AFTER, share));
+        known.push((at + STEP_DELAY, share));
     }
     Ok(outcomes)
 }
 
 #[test]
-fn a_good_release_is_never_condemned() -> Result {
+fn a_good_release_is_never_found_faulty() -> Result {
     for seed in 0..1_000 {
         let kind = if seed % 2 == 0 {
             Kind::Good
         } else {
-            Kind::Grey
+            Kind::FailsOnSomeServers
         };
-        let played = play(kind, seed)?;
+        let result = simulate(kind, seed)?;
         ensure!(
-            played.state == State::Completed,
+            result.state == State::Completed,
             "{kind:?}, seed {seed}: {}",
-            played.state
+            result.state
         );
     }
     Ok(())
 }
 
 #[test]
-fn a_bad_release_is_found_by_what_little_it_gets() -> Result {
+fn a_faulty_release_is_found_within_its_share() -> Result {
     let kinds = [
         Kind::Fails,
         Kind::Slow,
-        Kind::OneRoute,
-        Kind::Late(Duration::from_secs(3)),
-        Kind::Late(Duration::from_secs(5)),
+        Kind::FailsOnOneRoute,
+        Kind::FailsLater(Duration::from_secs(3)),
+        Kind::FailsLater(Duration::from_secs(5)),
     ];
     for kind in kinds {
         for seed in 0..60 {
-            let played = play(kind, seed)?;
+            let result = simulate(kind, seed)?;
             ensure!(
-                played.state == State::RolledBack,
+                result.state == State::RolledBack,
                 "{kind:?}, seed {seed}: {}",
-                played.state
+                result.state
             );
-            let most = SHARE * f64::from(played.all) + TOLERANCE;
+            let most = SHARE * f64::from(result.all) + TOLERANCE;
             ensure!(
-                f64::from(played.got) <= most,
+                f64::from(result.target_requests) <= most,
                 "{kind:?}, seed {seed}: {}",
-                played.got
+                result.target_requests
             );
-            let late = played
+            let late = result
                 .fiftieth
-                .is_some_and(|at| played.last > at + ROLLBACK);
-            ensure!(!late, "{kind:?}, seed {seed}: {:?}", played.last);
+                .is_some_and(|at| result.last > at + ROLLBACK);
+            ensure!(!late, "{kind:?}, seed {seed}: {:?}", result.last);
         }
     }
     Ok(())
@@ -261,18 +262,18 @@
     }
 }
 
-fn aim(rollouts: &Rollouts, again: bool, now: Instant) -> Result<Selector> {
+fn select(rollouts: &Rollouts, retry: bool, now: Instant) -> Result<Selector> {
     let service = id(SERVICE)?;
-    Ok(rollouts.release_selector(&service, again, ms(2_500), |_| 60, now))
+    Ok(rollouts.release_selector(&service, retry, ms(2_500), |_| 60, now))
 }
 
-/// However few requests each box has, all of them together keep within the share.
+/// However few requests each box has, all boxes together keep within the share.
 #[test]
 fn boxes_together_keep_within_the_share() -> Result {
     for (boxes, each) in [(7, 600), (68, 60), (985, 6), (2_000, 3)] {
         fastrand::seed(boxes);
         let now = Instant::now();
-        let mut got = 0;
+        let mut target_requests = 0;
         for _ in 0..boxes {
             let rollouts = Rollouts::default();
             rollouts.order(order("v2")?, Revision::of(5), None, now);
@@ -284,23 +285,26 @@
             );
             rollouts.confirm_at(now);
             for _ in 0..each {
-                got += u64::from(aim(&rollouts, false, now)?.is_trial());
+                target_requests += u64::from(select(&rollouts, false, now)?.is_trial());
             }
         }
         let most = (0.07 * (boxes * each) as f64) + TOLERANCE;
-        ensure!(got as f64 <= most && got > 0, "{boxes} boxes: {got}");
+        ensure!(
+            target_requests as f64 <= most && target_requests > 0,
+            "{boxes} boxes: {target_requests}"
+        );
     }
     Ok(())
 }
 
 #[test]
-fn a_box_that_cannot_show_what_it_knows_keeps_to_the_old_release() -> Result {
+fn a_box_without_a_confirmed_view_keeps_to_the_old_release() -> Result {
     let rollouts = Rollouts::default();
     let now = Instant::now();
     rollouts.order(order("v2")?, Revision::of(5), None, now);
     let others = Selector::Others("v2".parse()?);
     ensure!(
-        aim(&rollouts, false, now)? == others,
+        select(&rollouts, false, now)? == others,
         "an order without a stage"
     );
     rollouts.stage(
@@ -309,12 +313,12 @@
         Revision::of(6),
         now,
     );
-    ensure!(aim(&rollouts, false, now)? == others, "never proven");
+    ensure!(select(&rollouts, false, now)? == others, "never confirmed");
     rollouts.confirm_at(now);
-    ensure!(aim(&rollouts, false, now)? != others, "proven");
+    ensure!(select(&rollouts, false, now)? != others, "confirmed");
     ensure!(
-        aim(&rollouts, false, now + ms(3_000))? == others,
-        "an old proof"
+        select(&rollouts, false, now + ms(3_000))? == others,
+        "confirmed too long ago"
     );
     rollouts.confirm_at(now + ms(3_000));
     rollouts.stage(
@@ -324,10 +328,10 @@
         now,
     );
     ensure!(
-        aim(&rollouts, false, now + ms(3_000))? == others,
+        select(&rollouts, false, now + ms(3_000))? == others,
         "rolled back"
     );
-    // An older word, or one after the end, changes nothing.
+    // An older stage, or one after the final state, changes nothing.
     rollouts.stage(
         &id(SERVICE)?,
         stage(5, State::InProgress, 1.0),
@@ -341,10 +345,10 @@
         now,
     );
     ensure!(
-        aim(&rollouts, false, now + ms(3_000))? == others,
+        select(&rollouts, false, now + ms(3_000))? == others,
         "came back"
     );
-    // A request that was sent before is not for a release on trial.
+    // A retry does not go to a canary release.
     rollouts.order(order("v3")?, Revision::of(20), None, now);
     rollouts.stage(
         &id(SERVICE)?,
@@ -355,17 +359,17 @@
     let others = Selector::Others("v3".parse()?);
     for _ in 0..20 {
         ensure!(
-            aim(&rollouts, true, now + ms(3_000))? == others,
-            "sent again"
+            select(&rollouts, true, now + ms(3_000))? == others,
+            "retried"
         );
     }
     rollouts.cancel(&id(SERVICE)?, Revision::of(30));
-    ensure!(aim(&rollouts, false, now)? == Selector::Any, "taken back");
+    ensure!(select(&rollouts, false, now)? == Selector::Any, "cancelled");
     Ok(())
 }
 
 #[test]
-fn boxes_take_over_the_newer_state_whoever_tells_it() -> Result {
+fn boxes_merge_the_newer_state_whoever_reports_it() -> Result {
     let (first, second) = (Rollouts::default(), Rollouts::default());
     let now = Instant::now();
     first.order(order("v2")?, Revision::of(5), None, now);
@@ -395,7 +399,7 @@
     );
     let known = second.of(&id(SERVICE)?).ok_or_else(|| eyre!("unknown"))?;
     ensure!(known.state() == State::RolledBack, "{}", known.state());
-    // An order that was taken back does not come back by an older list.
+    // An older list does not bring a cancelled order back.
     first.cancel(&id(SERVICE)?, Revision::of(12));
     second.merge(&first.list(now), None, now);
     second.merge(&older, None, now);
@@ -404,14 +408,14 @@
 }
 
 #[test]
-fn so_few_servers_are_tried_that_they_have_as_much_to_do_as_later() -> Result {
+fn a_canary_release_gets_requests_on_a_part_of_its_servers() -> Result {
     let target: Release = "v2".parse()?;
     let of = |part| Selector::Target {
         release: target.clone(),
         part,
         order: 5,
     };
-    let admitted = |aim: &Selector| -> Result<usize> {
+    let admitted = |select: &Selector| -> Result<usize> {
         let mut count = 0;
         for number in 0..200 {
             let release = Some(if number < 100 {
@@ -423,7 +427,7 @@
                 release,
                 ..server(number, server::State::Ready)?
             };
-            count += usize::from(aim.admits(&server));
+            count += usize::from(select.admits(&server));
         }
         Ok(count)
     };
@@ -437,68 +441,70 @@
     Ok(())
 }
 
-/// Writes the operator's order, and returns what it is told.
-fn status(house: &Harness) -> Option<String> {
+/// The rollout status that the operator sees.
+fn status(harness: &Harness) -> Option<String> {
     let key = format!("status/rollout/{SERVICE}");
-    let value = house.site.store.value(&key)?;
+    let value = harness.site.store.value(&key)?;
     let value: Value = serde_json::from_slice(&value).ok()?;
     Some(value["state"].as_str()?.to_owned())
 }
 
-fn start(house: &Harness, within_s: f64) {
+fn start(harness: &Harness, within_s: f64) {
     let key = format!("op/rollout/{SERVICE}");
     let order = json!({ "service": SERVICE, "target_version": "v2", "duration_s": within_s });
-    house.site.store.put(&key, &order);
+    harness.site.store.put(&key, &order);
 }
 
 /// A server of the new release.
-fn newer(house: &Harness, number: u32) -> Result<Server> {
+fn newer(harness: &Harness, number: u32) -> Result<Server> {
     let server = Server::start(server_settings(number))?;
     let (address, state) = (server.address(), server::State::Ready);
-    house.site.announce_with(&server, address, state, |entry| {
-        entry["version"] = "v2".into()
-    });
+    harness
+        .site
+        .announce_with(&server, address, state, |entry| {
+            entry["version"] = "v2".into()
+        });
     Ok(server)
 }
 
-/// Sends requests until the operator is told something; returns what.
-async fn told(house: &Harness, count: usize) -> Result<String> {
+/// Sends requests until the status shows the end of the rollout. Returns the status.
+async fn final_status(harness: &Harness, count: usize) -> Result<String> {
     for number in 0..count {
-        house.post("/r/x", &format!("{number}")).await?;
+        harness.post("/r/x", &format!("{number}")).await?;
         Timer::after(ms(4)).await;
-        match status(house).as_deref() {
+        match status(harness).as_deref() {
             None | Some("in_progress") => {}
             Some(state) => return Ok(state.to_owned()),
         }
     }
-    Ok(status(house).unwrap_or_default())
+    Ok(status(harness).unwrap_or_default())
 }
 
 #[test]
-fn a_bad_release_is_rolled_back_and_gets_nothing_more() -> Result {
+fn a_faulty_release_is_rolled_back_and_gets_nothing_more() -> Result {
     run(async |executor| {
         let site = site()?;
         let old = [
             site.server(server_settings(1))?,
             site.server(server_settings(2))?,
         ];
-        let house = Harness::start_with_settings(executor, site, |told| {
-            told["bounds"]["exposure_share"] = json!(0.4);
+        let harness = Harness::start_with_settings(executor, site, |settings| {
+            settings["bounds"]["exposure_share"] = json!(0.4);
         })
         .await?;
-        let servers: Result<Vec<Server>> = (11..17).map(|n| newer(&house, n)).collect();
+        let servers: Result<Vec<Server>> = (11..17).map(|n| newer(&harness, n)).collect();
         let servers = servers?;
         servers
             .iter()
             .for_each(|server| server.fault(Fault::Failure, u32::MAX));
-        start(&house, 20.0);
-        wait_until("in progress", async || Ok(status(&house).is_some())).await?;
-        let state = told(&house, 1_200).await?;
+        start(&harness, 20.0);
+        wait_until("in progress", async || Ok(status(&harness).is_some())).await?;
+        let state = final_status(&harness, 1_200).await?;
         ensure!(state == "rolled_back", "{state}");
         let before: usize = servers.iter().map(|server| server.runs().len()).sum();
-        ensure!(before > 0, "never tried");
+        ensure!(before > 0, "got no requests");
         for number in 0..40 {
-            let answer = house.post("/r/x", &format!("after-{number}")).await?;
+            let answer = harness.post("/r/x", &format!("after-{number}")).await?;
             ensure!(answer.status == 200, "{answer:?}");
         }
         let after: usize = servers.iter().map(|server| server.runs().len()).sum();
@@ -520,17 +526,17 @@
             site.server(server_settings(1))?,
             site.server(server_settings(2))?,
         ];
-        let house = Harness::start_with_settings(executor, site, |told| {
-            told["bounds"]["exposure_share"] = json!(0.4);
+        let harness = Harness::start_with_settings(executor, site, |settings| {
+            settings["bounds"]["exposure_share"] = json!(0.4);
         })
         .await?;
-        let _servers: Result<Vec<Server>> = (11..17).map(|n| newer(&house, n)).collect();
-        start(&house, 6.0);
-        let state = told(&house, 2_000).await?;
+        let _servers: Result<Vec<Server>> = (11..17).map(|n| newer(&harness, n)).collect();
+        start(&harness, 6.0);
+        let state = final_status(&harness, 2_000).await?;
         ensure!(state == "completed", "{state}");
         let before: usize = old.iter().map(|server| server.runs().len()).sum();
         for number in 0..20 {
-            let answer = house.post("/r/x", &format!("after-{number}")).await?;
+            let answer = harness.post("/r/x", &format!("after-{number}")).await?;
             ensure!(answer.status == 200, "{answer:?}");
         }
         let after: usize = old.iter().map(|server| server.runs().len()).sum();
