--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -64,7 +64,7 @@
     Broken(io::Error),
     /// A stream or the whole server stalled.
     Stalled,
-    /// The server refused the request with this status and did not execute it.
+    /// The server rejected the request with this status and did not execute it.
     Refused(u16),
     /// The server answered with an error of its own.
     Error(u16),
@@ -109,7 +109,7 @@
             Cause::Unsigned => f.write_str("the success is not signed"),
             Cause::Broken(error) => write!(f, "the answer was cut off: {error}"),
             Cause::Stalled => f.write_str("the server stalled"),
-            Cause::Refused(status) => write!(f, "the server refused the request with {status}"),
+            Cause::Refused(status) => write!(f, "the server rejected the request with {status}"),
             Cause::Error(status) => write!(f, "the server answered {status}"),
         }
     }
--- a/crates/relay/src/locations.rs
+++ b/crates/relay/src/locations.rs
@@ -22,8 +22,8 @@
 /// probability, each box would spread that overflow over servers of its own choice, and
 /// each of these would prefill the subject again.
 const CACHED_BY_RANK: [f64; 3] = [0.93, 0.5, 0.25];
-/// The same when other servers are known to cache the subject: boxes that avoid an
-/// server over the load bound then agree on the next one before they hear of each other's choice.
+/// The same when other servers are known to cache the subject: boxes that avoid a server
+/// over the load bound then agree on the next one before they hear of each other's choice.
 const CACHED_BESIDE_HOLDERS: [f64; 3] = [0.5, 0.5, 0.25];
 /// Number of tokens below which copying a KV cache is not worth its set-up time.
 const COPY_TOKENS_MIN: u32 = 200;
