--- a/crates/relay/src/exchange/admit.rs
+++ b/crates/relay/src/exchange/admission.rs
@@ -1,7 +1,7 @@
 //! Admission of a request by the catalog in force.
 //!
-//! Invariant: a client is answered that a route or an account does not exist
-//! only while the catalog is fresh enough for that to be a fact.
+//! Invariant: a request is refused because its route or account does not exist
+//! only while the catalog is fresh enough to prove that.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,13 +13,13 @@
 use tidepier_ids as ids;
 use tidepier_platform::request as wire_request;
 
-use super::job::{Exchange, IncomingRequest, Start};
+use super::state::{Exchange, IncomingRequest, Start};
 use crate::content::{Fingerprint, Parts};
 use crate::refusal;
 use crate::relay::Relay;
 
-/// Why a request is refused, and the attempt that the refusal names; empty
-/// where the request does not say.
+/// The kind of a refusal, and the attempt id that it carries; the id is empty if
+/// the request has none.
 pub(super) type Denied = (refusal::Kind, Box<str>);
 
 /// Admits a request.
@@ -41,12 +41,12 @@
     let catalog = catalog.filter(|_| relay.standing.may_begin());
     let catalog = catalog.ok_or_else(|| denied(refusal::Kind::NotReady))?;
     let (route, account) = look_up(relay, &catalog, &request).map_err(denied)?;
-    let service = share(&route);
+    let service = pick_service(&route);
     let declared = catalog.services.get(&service);
     let connections = declared.map_or(u32::MAX, |service| service.connections);
     let engine = declared.and_then(|service| service.engine);
-    let patience = request.client_timeout.unwrap_or(route.timeout);
-    let deadline = arrival.at + patience.min(route.timeout);
+    let timeout = request.client_timeout.unwrap_or(route.timeout);
+    let deadline = arrival.at + timeout.min(route.timeout);
     relay.budget.request(&service, arrival.at);
     let content = content(arrival, &request, account.as_deref());
     Ok(Exchange {
@@ -63,20 +63,21 @@
         service,
         route,
         tried: Vec::new(),
-        sending: Start {
+        last_attempt: Start {
             at: arrival.at,
-            reading: Duration::ZERO,
+            prefill_time: Duration::ZERO,
         },
-        sent: 0,
-        absent: 0,
-        paid: false,
-        may_have_run: false,
-        aside: None,
+        attempts: 0,
+        absent_count: 0,
+        retry_charged: false,
+        may_have_executed: false,
+        fallback: None,
     })
 }
 
-/// What the request asks, whichever attempt it is. Who asks is the account, on a
-/// route without accounts the key, if there is one.
+/// The fingerprint of the request's content, which is the same for every attempt.
+/// It includes the account or, on a route without accounts, the key if there is
+/// one.
 fn content(
     arrival: &IncomingRequest<'_>,
     request: &Request,
@@ -93,9 +94,9 @@
     })
 }
 
-/// When a request whose head arrived at `at` has its final answer at the
-/// latest, by its client's patience and its route's time; `None` where neither
-/// is known.
+/// The deadline for the final answer to a request whose head arrived at `at`:
+/// the earlier of its client's and its route's time-out; `None` if neither is
+/// known.
 pub fn deadline(relay: &Relay, head: &Head, at: Instant) -> Option<Instant> {
     let request = wire_request::decode(head).ok()?;
     let catalog = relay.view.catalog();
@@ -113,20 +114,20 @@
     request: &Request,
 ) -> Result<(Arc<Route>, Option<Arc<Account>>), refusal::Kind> {
     let fresh = relay.view.is_fresh(relay.bounds().catalog_max_age);
-    // What is missing in an old catalog may have been added since.
-    let fact = |kind| if fresh { kind } else { stale(relay) };
+    // A route or account that an old catalog lacks may have been added since.
+    let if_proven = |kind| if fresh { kind } else { stale_refusal(relay) };
     let route = catalog.route(&request.host, &request.path).cloned();
-    let route = route.ok_or_else(|| fact(refusal::Kind::NoRoute))?;
+    let route = route.ok_or_else(|| if_proven(refusal::Kind::NoRoute))?;
     let account = account(relay, catalog, &route, request).map_err(|kind| match kind {
-        refusal::Kind::NoAccount => fact(kind),
+        refusal::Kind::NoAccount => if_proven(kind),
         other => other,
     })?;
     Ok((route, account))
 }
 
-/// Why the catalog is too old: another box may know better, unless the store itself went
-/// back to an older one.
-fn stale(relay: &Relay) -> refusal::Kind {
+/// The refusal for a catalog that is too old. With `Stale` another box may have a
+/// newer catalog; with `Behind` none has, as the store went back to an older copy.
+fn stale_refusal(relay: &Relay) -> refusal::Kind {
     if relay.standing.era().is_some() && relay.standing.is_open() {
         refusal::Kind::Behind
     } else {
@@ -134,7 +135,7 @@
     }
 }
 
-/// The account of a request's key, on a route that asks for one.
+/// The account of a request's key; `None` on a route that needs no account.
 fn account(
     relay: &Relay,
     catalog: &Catalog,
@@ -144,13 +145,13 @@
     if route.public || catalog.accounts.is_none() {
         return Ok(None);
     }
-    // A key may have been revoked since the catalog was the newest one.
+    // The key may have been revoked since the catalog was last confirmed.
     let trusted = relay
         .bounds()
         .key_max_age
-        .is_none_or(|most| relay.view.is_fresh(most));
+        .is_none_or(|max_age| relay.view.is_fresh(max_age));
     if !trusted {
-        return Err(stale(relay));
+        return Err(stale_refusal(relay));
     }
     let key = request.key.as_deref().ok_or(refusal::Kind::NoAccount)?;
     let account = catalog.account(key).cloned();
@@ -158,7 +159,7 @@
 }
 
 /// Picks a service of the route by weight.
-fn share(route: &Route) -> ids::Service {
+fn pick_service(route: &Route) -> ids::Service {
     let total: u64 = route
         .split
         .iter()
--- a/crates/relay/src/exchange/answer.rs
+++ b/crates/relay/src/exchange/buffered.rs
@@ -1,4 +1,4 @@
-//! An answer that was read whole.
+//! An answer that was read completely before it is forwarded.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -6,27 +6,27 @@
 use tidepier_h1::{Head, Writer};
 use tidepier_platform::answer::{self, Length};
 
-use super::end::Disposition;
+use super::disposition::Disposition;
 use crate::fleet::Backend;
 
-/// An answer that was read whole.
-pub(super) struct Whole {
-    /// The server that made it.
+/// An answer that was read completely before it is forwarded.
+pub(super) struct Answer {
+    /// The server that sent it.
     pub(super) backend: Rc<Backend>,
     /// Its status.
     pub(super) status: u16,
-    /// Its head as sent.
+    /// Its head as received from the server.
     pub(super) head: Head,
-    /// How its end is told to the client.
+    /// How its length is indicated to the client.
     pub(super) length: Length,
     /// Its body.
     pub(super) body: Vec<u8>,
-    /// Time from the request's arrival to the answer's beginning.
+    /// Time from the request's arrival to the beginning of the answer.
     pub(super) first: Duration,
 }
 
-impl Whole {
-    /// Writes it to the client, whose connection ends with it if `close`.
+impl Answer {
+    /// Writes it to the client; `close` announces that the connection closes after it.
     pub(super) async fn deliver(&self, writer: &Writer, close: bool) -> Disposition {
         let mut out = Vec::new();
         answer::encode(&self.head, self.length, close, &mut out);
--- a/crates/relay/src/exchange/mod.rs
+++ b/crates/relay/src/exchange/mod.rs
@@ -1,23 +1,23 @@
-//! One request, from its arrival to its answer.
+//! Handles one request, from its arrival to its answer.
 //!
-//! * `admit`: admission by the catalog in force.
-//! * `job`: what is known of the request while it is worked on.
-//! * `send`: the choice of a server, and the sending.
-//! * `stream`: passing the answer on.
-//! * `retry`: whether it is sent again, and the refusal if not.
+//! * `admission`: admits or refuses the request by the catalog in force.
+//! * `state`: the state of the request while it is handled.
+//! * `send`: chooses a server and sends the request there.
+//! * `stream`: forwards the answer to the client.
+//! * `retry`: decides whether the request is sent again, and how it is refused if not.
 //! * `report`: log lines, metrics and the health of servers.
 //!
-//! Invariant: a client gets one final answer to a request, a server's or a
-//! refusal of this box. Only where events were passed on already may it end
-//! incomplete.
+//! Invariant: a client gets exactly one final answer to a request: either a
+//! server's answer or a refusal by this box. The answer may end incomplete
+//! only after events of a stream have been forwarded.
 
-mod admit;
-mod answer;
-mod end;
-mod job;
+mod admission;
+mod buffered;
+mod disposition;
 mod report;
 mod retry;
 mod send;
+mod state;
 mod stream;
 
 use std::rc::Rc;
@@ -25,19 +25,19 @@
 use tidepier_h1::Writer;
 use tidepier_platform::refusal as wire_refusal;
 
-pub use admit::deadline;
-pub use end::Disposition;
-use job::Exchange;
-pub use job::IncomingRequest;
+pub use admission::deadline;
+pub use disposition::Disposition;
+use state::Exchange;
+pub use state::IncomingRequest;
 
 use crate::attempt::{Failure, Reply};
 use crate::fleet::Backend;
 use crate::refusal;
 use crate::relay::Relay;
 
-/// Answers one request.
+/// Handles one request and writes its answer.
 pub async fn run(relay: &Relay, arrival: &IncomingRequest<'_>, writer: &Writer) -> Disposition {
-    let mut exchange = match admit::admit(relay, arrival, writer) {
+    let mut exchange = match admission::admit(relay, arrival, writer) {
         Ok(exchange) => exchange,
         Err((kind, attempt)) => {
             return refuse(relay, arrival, writer, kind, &attempt).await;
@@ -45,11 +45,11 @@
     };
     match exchange.serve().await {
         Ok(end) => end,
-        Err(kind) => exchange.give_up(kind).await,
+        Err(kind) => exchange.finish_without_server(kind).await,
     }
 }
 
-/// Writes an answer of this box's own.
+/// Writes a refusal by this box.
 pub async fn refuse(
     relay: &Relay,
     arrival: &IncomingRequest<'_>,
@@ -87,36 +87,36 @@
     async fn serve(&mut self) -> Result<Disposition, refusal::Kind> {
         loop {
             let sent = self.send(self.request.resume_after).await;
-            let (backend, result) = sent.map_err(|kind| self.unpromised(kind))?;
-            match self.pass(&backend, result).await {
+            let (backend, result) = sent.map_err(|kind| self.lost_if_may_have_executed(kind))?;
+            match self.forward(&backend, result).await {
                 Ok(end) => return Ok(end),
                 Err(failure) => {
-                    self.failed(&backend, &failure);
+                    self.record_failure(&backend, &failure);
                     self.may_retry(&failure)?;
                 }
             }
         }
     }
 
-    /// Ends a request that no server answers any more: with the error that a
-    /// server made of it, if there is one, else with an answer of this box.
-    async fn give_up(&mut self, kind: refusal::Kind) -> Disposition {
-        if let Some(whole) = self.aside.take() {
-            let end = whole.deliver(self.writer, self.closes()).await;
-            self.note_answered(&whole.backend, whole.status, whole.first);
+    /// Answers to a request that no further server will handle: with the 5xx
+    /// answer that a server gave earlier, if there is one, else with a refusal.
+    async fn finish_without_server(&mut self, kind: refusal::Kind) -> Disposition {
+        if let Some(answer) = self.fallback.take() {
+            let end = answer.deliver(self.writer, self.closes()).await;
+            self.log_answer(&answer.backend, answer.status, answer.first);
             return end;
         }
         let attempt = &self.request.attempt;
         refuse(self.relay, self.arrival, self.writer, kind, attempt).await
     }
 
-    /// Passes a server's answer on, unless the request is to go elsewhere.
-    async fn pass(
+    /// Forwards a server's answer, unless the request has to go to another server.
+    async fn forward(
         &mut self,
         backend: &Rc<Backend>,
         result: Result<Reply, Failure>,
     ) -> Result<Disposition, Failure> {
-        let reply = self.judge(backend, result?).await?;
-        stream::pass(self, backend.clone(), reply).await
+        let reply = self.check_reply(backend, result?).await?;
+        stream::forward(self, backend.clone(), reply).await
     }
 }
--- a/crates/relay/src/exchange/report.rs
+++ b/crates/relay/src/exchange/report.rs
@@ -1,4 +1,5 @@
-//! What an exchange records: log lines, metrics and the health of servers.
+//! What the handling of a request records: log lines, metrics, the health of
+//! servers and the evidence for rollouts.
 
 use std::io;
 use std::rc::Rc;
@@ -7,7 +8,7 @@
 use tidepier_clock::Instant;
 use tidepier_platform::answer;
 
-use super::job::Exchange;
+use super::state::Exchange;
 use crate::attempt::{Cause, Executed, Failure};
 use crate::choose::Choice;
 use crate::fleet::Backend;
@@ -15,8 +16,8 @@
 use crate::rollout::evidence::{Answer, Outcome};
 
 impl Exchange<'_> {
-    /// Logs which server was chosen and why.
-    pub(super) fn note_placed(&self, choice: &Choice) {
+    /// Logs which server was chosen, with the figures behind the choice.
+    pub(super) fn log_placement(&self, choice: &Choice) {
         log::info!(
             target: "request",
             "event=placed id={} content={} route={} account={} server={} try={} cost={:.0} load={:.0} \
@@ -26,7 +27,7 @@
             self.route.name,
             self.account.as_ref().map_or("-", |account| account.name.as_str()),
             choice.backend.server.id,
-            self.sent + 1,
+            self.attempts + 1,
             choice.cost,
             choice.load,
             self.request.prompt.as_ref().map_or(0, |prompt| prompt.shared_tokens()),
@@ -43,7 +44,7 @@
         );
     }
 
-    /// Id of the last part of the prompt that is shared; 0 without one.
+    /// Id of the last part of the prompt that other prompts share; 0 without one.
     fn subject(&self) -> u64 {
         let prompt = self.request.prompt.as_ref();
         prompt
@@ -51,16 +52,17 @@
             .map_or(0, |part| part.id)
     }
 
-    /// Records a failure.
-    pub(crate) fn failed(&mut self, backend: &Rc<Backend>, failure: &Failure) {
+    /// Records a failed attempt: in the log, the metrics, the health of the server,
+    /// the evidence for a rollout, and the suspects of a crash.
+    pub(crate) fn record_failure(&mut self, backend: &Rc<Backend>, failure: &Failure) {
         if failure.ran == Executed::Unknown {
-            self.may_have_run = true;
+            self.may_have_executed = true;
         }
-        if let Some(outcome) = self.outcome(failure) {
+        if let Some(outcome) = self.health_outcome(failure) {
             backend.record(outcome, Instant::now());
         }
-        if let Some(outcome) = trial(&failure.cause) {
-            self.note_trial(backend, outcome);
+        if let Some(outcome) = failure_evidence(&failure.cause) {
+            self.record_evidence(backend, outcome);
         }
         if failure.cause.may_be_crash() {
             self.relay.crashes.suspects.add(backend, self.content);
@@ -87,8 +89,8 @@
             .increment(1);
     }
 
-    /// What a failure says of the server; `None`: nothing.
-    fn outcome(&self, failure: &Failure) -> Option<health::Outcome> {
+    /// What a failure means for the health of the server; `None` if nothing.
+    fn health_outcome(&self, failure: &Failure) -> Option<health::Outcome> {
         match &failure.cause {
             Cause::Connect(error) if error.kind() != io::ErrorKind::TimedOut => {
                 Some(health::Outcome::NotListening)
@@ -97,27 +99,28 @@
             Cause::Withheld(_) => None,
             Cause::Refused(answer::MISDIRECTED) => Some(health::Outcome::NotListening),
             Cause::Refused(_) => Some(health::Outcome::Succeeded),
-            // The time may have been too short for any server.
+            // The client's deadline may have been too short for any server.
             Cause::Late => {
                 let waited = self.arrival.at.elapsed();
-                (waited > patience(self.route.objective)).then_some(health::Outcome::Unresponsive)
+                (waited > silence_threshold(self.route.objective))
+                    .then_some(health::Outcome::Unresponsive)
             }
             _ => Some(health::Outcome::Errored),
         }
     }
 
-    /// Time that the last server took to begin an answer that began `first`
-    /// after the request's arrival, beyond that of reading the prompt; `None` if
-    /// it began at another server.
-    fn beginning(&self, first: Duration) -> Option<Duration> {
+    /// Time from the latest attempt to the beginning of the answer, less the time
+    /// allowed for the prefill. `first` is the time from the request's arrival to that
+    /// beginning. `None` if the answer began at an earlier server.
+    fn first_byte_delay(&self, first: Duration) -> Option<Duration> {
         let begun = self.arrival.at + first;
-        let took = begun.checked_duration_since(self.sending.at)?;
-        Some(took.saturating_sub(self.sending.reading))
+        let took = begun.checked_duration_since(self.last_attempt.at)?;
+        Some(took.saturating_sub(self.last_attempt.prefill_time))
     }
 
-    /// Records that an answer was passed on whole. `first`: time from the
-    /// request's arrival to the answer's beginning.
-    pub(crate) fn answered(&self, backend: &Rc<Backend>, status: u16, first: Duration) {
+    /// Records that an answer was forwarded completely. `first` is the time from
+    /// the request's arrival to the beginning of the answer.
+    pub(crate) fn record_answer(&self, backend: &Rc<Backend>, status: u16, first: Duration) {
         let outcome = if status >= 500 {
             health::Outcome::Errored
         } else {
@@ -127,23 +130,23 @@
         if matches!(status, 200..=299) {
             self.relay.crashes.answered(self.content);
         }
-        if let Some(took) = self.beginning(first) {
+        if let Some(took) = self.first_byte_delay(first) {
             backend.health.record_latency(took, Instant::now());
-            self.note_trial(backend, self.trial_of(backend, status, took));
+            self.record_evidence(backend, self.answer_evidence(backend, status, took));
         }
-        self.note_answered(backend, status, first);
+        self.log_answer(backend, status, first);
     }
 
-    /// How an answer ended whose beginning took so long.
-    fn trial_of(&self, backend: &Backend, status: u16, first: Duration) -> Outcome {
+    /// The rollout evidence of a complete answer whose beginning took `first`.
+    fn answer_evidence(&self, backend: &Backend, status: u16, first: Duration) -> Outcome {
         let now = Instant::now();
         match status {
             500.. => Outcome::Failed,
             _ => Outcome::Answered {
                 first,
                 whole: now
-                    .saturating_duration_since(self.sending.at)
-                    .saturating_sub(self.sending.reading),
+                    .saturating_duration_since(self.last_attempt.at)
+                    .saturating_sub(self.last_attempt.prefill_time),
                 cold: self
                     .cold
                     .is_some_and(|cold| backend.is_cold(cold.time, now)),
@@ -151,8 +154,8 @@
         }
     }
 
-    /// Counts an answer for or against the release of its server.
-    fn note_trial(&self, backend: &Backend, outcome: Outcome) {
+    /// Adds an outcome to the evidence on the release that the server runs.
+    fn record_evidence(&self, backend: &Backend, outcome: Outcome) {
         let rollouts = &self.relay.rollouts;
         let order = rollouts.of(&self.service).map(|known| {
             let target = Some(&known.order.target);
@@ -168,8 +171,8 @@
         rollouts.evidence.record_answer(&answer, Instant::now());
     }
 
-    /// Logs and counts an answer that was passed on whole.
-    pub(super) fn note_answered(&self, backend: &Backend, status: u16, first: Duration) {
+    /// Logs and counts an answer that was forwarded completely.
+    pub(super) fn log_answer(&self, backend: &Backend, status: u16, first: Duration) {
         log::info!(
             target: "request",
             "event=answered id={} server={} status={status} first_ms={} ms={} tries={}",
@@ -177,7 +180,7 @@
             backend.server.id,
             first.as_millis(),
             self.arrival.at.elapsed().as_millis(),
-            self.sent,
+            self.attempts,
         );
         metrics::counter!("tidepier_answers_total", "status" => class(status)).increment(1);
         metrics::histogram!("tidepier_first_byte_seconds").record(first.as_secs_f64());
@@ -186,8 +189,8 @@
     }
 }
 
-/// What a failure says of the release of its server; `None`: nothing.
-fn trial(cause: &Cause) -> Option<Outcome> {
+/// What a failure means for the release that the server runs; `None` if nothing.
+fn failure_evidence(cause: &Cause) -> Option<Outcome> {
     match cause {
         Cause::Error(_) | Cause::Unsigned | Cause::Broken(_) | Cause::Lost(_) => {
             Some(Outcome::Failed)
@@ -206,7 +209,7 @@
     }
 }
 
-/// Time in which every healthy server answers.
-pub(super) fn patience(objective: Duration) -> Duration {
+/// Time within which every healthy server begins its answer.
+pub(super) fn silence_threshold(objective: Duration) -> Duration {
     Duration::from_secs(1).max(2 * objective)
 }
--- a/crates/relay/src/exchange/retry.rs
+++ b/crates/relay/src/exchange/retry.rs
@@ -1,8 +1,8 @@
-//! Whether a request is sent again, and how it is refused if not.
+//! Decides whether a request is sent again, and how it is refused if not.
 //!
-//! Invariant: a request that may have run is sent again only where its route
-//! lets it run more than once, and is never refused with a kind that promises
-//! that it has not run.
+//! Invariant: a request that may have been executed is sent again only if its
+//! route allows repeated execution, and is never refused with a kind that
+//! promises that it was not executed.
 
 use std::io;
 use std::rc::Rc;
@@ -11,48 +11,54 @@
 use tidepier_clock::Instant;
 use tidepier_platform::answer;
 
-use super::job::Exchange;
-use super::stream::{self, scrap};
+use super::state::Exchange;
+use super::stream::{self, discard};
 use crate::attempt::{Cause, Executed, Failure, Reply};
 use crate::fleet::Backend;
 use crate::refusal;
 
-/// Time left under which a request is not sent again.
+/// Remaining time below which a request is not sent again.
 const RETRY_TIME_MIN: Duration = Duration::from_millis(30);
-/// Servers that may turn out not to be there before a request is refused, where no
-/// server is left that this box has no reason to leave out, or where that took longer
-/// than a round trip.
+/// Absent servers after which a request is refused, if no untried server looks usable
+/// to this box or if detecting the last absence took longer than a round trip.
 const ABSENT_MAX: u32 = 4;
-/// The same while there is one. To find that nobody is there takes a round trip, far
-/// less than a refused client's way back. With two thirds of 90 servers gone, unknown
-/// to all, 78 boxes refused 138 in 1,000 requests after four.
-const ABSENT_HOPEFUL_MAX: u32 = 12;
+/// The same while an untried server looks usable and the last absence was detected
+/// within a round trip. A refused connection costs one round trip, far less than a
+/// client needs to come back after a refusal. When two thirds of 90 servers were gone
+/// and no box knew it, 78 boxes that stopped after four absent servers refused 138 in
+/// 1,000 requests.
+const ABSENT_USABLE_MAX: u32 = 12;
 
 impl Exchange<'_> {
-    /// Whether an answer's head is passed on, or the request goes elsewhere.
-    pub(super) async fn judge(
+    /// Decides by the head of an answer whether it is forwarded.
+    ///
+    /// # Errors
+    ///
+    /// The request has to go to another server: this one did not execute it, or
+    /// answered with a 5xx status and a retry is allowed.
+    pub(super) async fn check_reply(
         &mut self,
         backend: &Rc<Backend>,
         reply: Reply,
     ) -> Result<Reply, Failure> {
         if reply.answer.not_run {
             let status = reply.answer.status;
-            scrap::keep_after(backend, reply, self.deadline).await;
+            discard::body(backend, reply, self.deadline).await;
             return Err(Failure {
                 ran: Executed::No,
                 cause: Cause::Refused(status),
             });
         }
-        self.may_have_run = true;
+        self.may_have_executed = true;
         let own_error = reply.answer.status >= 500;
-        // Its body is read before the retry, so that its connection is kept and
-        // the client can have it.
-        let repeatable = self.route.kind.repeatable() && self.time_for_retry(scrap::TIME);
-        if own_error && repeatable && self.retry_is_paid() {
-            self.paid = true;
+        // The body of the error is read before the retry, so that the connection
+        // can be reused and the client can still get this answer.
+        let repeatable = self.route.kind.repeatable() && self.time_for_retry(discard::TIMEOUT);
+        if own_error && repeatable && self.charge_retry() {
+            self.retry_charged = true;
             let status = reply.answer.status;
-            let aside = stream::set_aside(self, backend, reply).await;
-            self.aside = aside.or(self.aside.take());
+            let fallback = stream::read_fallback(self, backend, reply).await;
+            self.fallback = fallback.or(self.fallback.take());
             return Err(Failure {
                 ran: Executed::Unknown,
                 cause: Cause::Error(status),
@@ -67,44 +73,45 @@
     ///
     /// It may not; the refusal that the client gets.
     pub(crate) fn may_retry(&mut self, failure: &Failure) -> Result<(), refusal::Kind> {
-        // The server's own answer was set aside for this sending.
-        if std::mem::take(&mut self.paid) {
+        // The budget was charged when the server's 5xx answer was read.
+        if std::mem::take(&mut self.retry_charged) {
             return Ok(());
         }
         if !self.time_for_retry(Duration::ZERO) {
-            return Err(self.given_up(failure));
+            return Err(self.final_refusal(failure));
         }
         match &failure.cause {
-            // Nothing was sent, and the server is in no further choice.
+            // Nothing was sent, and the server will not be chosen again.
             Cause::Withheld(_) => {
-                self.sent -= 1;
+                self.attempts -= 1;
                 Ok(())
             }
-            // Nothing arrived at a server: costs nobody anything.
-            Cause::Connect(error) if self.may_pass_over(is_refused(error)) => {
-                self.pass_over();
+            // Nothing reached a server, so the retry costs no server any work.
+            Cause::Connect(error) if self.may_skip_absent(is_connection_refused(error)) => {
+                self.count_absent();
                 Ok(())
             }
-            // Another server has the address: the one that was meant got nothing,
-            // and a route that allows one server still has that one to come. The
-            // other had to answer, so that the budget pays. When a quarter of 240
-            // engines crashed and new ones took their addresses over, 562 attempts
-            // within 3 s ended here, and 153 of the callers got no answer at all.
-            Cause::Refused(answer::MISDIRECTED) if self.may_pass_over(false) => {
-                self.pass_over();
-                self.paid_or_over(failure)
+            // Another server answers at the address. The intended server got
+            // nothing, so a route that allows one server has not used it up yet.
+            // The other server had to answer, so the retry is charged to the
+            // budget. When a quarter of 240 engines crashed and new ones took over
+            // their addresses, 562 attempts within 3 s were given up here, and 153
+            // of the callers got no answer at all.
+            Cause::Refused(answer::MISDIRECTED) if self.may_skip_absent(false) => {
+                self.count_absent();
+                self.charge_or_refuse(failure)
             }
             _ if failure.ran == Executed::No || self.route.kind.repeatable() => {
-                self.paid_or_over(failure)
+                self.charge_or_refuse(failure)
             }
-            _ => Err(self.given_up(failure)),
+            _ => Err(self.final_refusal(failure)),
         }
     }
 
-    /// Whether one more server may turn out not to be there; `at_once`: the last one
-    /// did so in a round trip.
-    fn may_pass_over(&self, at_once: bool) -> bool {
-        if self.absent < ABSENT_MAX {
+    /// Whether one more absent server is tolerated. `at_once`: the last absence was
+    /// detected within a round trip.
+    fn may_skip_absent(&self, at_once: bool) -> bool {
+        if self.absent_count < ABSENT_MAX {
             return true;
         }
         let now = Instant::now();
@@ -112,21 +119,21 @@
         let mut untried = servers
             .iter()
             .filter(|it| !self.tried.contains(&it.server.id));
-        let hopeful = at_once && untried.any(|it| it.is_healthy(now));
-        hopeful && self.absent < ABSENT_HOPEFUL_MAX
+        let may_find_one = at_once && untried.any(|it| it.is_healthy(now));
+        may_find_one && self.absent_count < ABSENT_USABLE_MAX
     }
 
-    /// Does not count the last sending: its server was not there.
-    fn pass_over(&mut self) {
-        self.absent += 1;
-        self.sent -= 1;
+    /// Counts the last server as absent instead of as one that got the request.
+    fn count_absent(&mut self) {
+        self.absent_count += 1;
+        self.attempts -= 1;
     }
 
-    fn paid_or_over(&self, failure: &Failure) -> Result<(), refusal::Kind> {
-        if self.retry_is_paid() {
+    fn charge_or_refuse(&self, failure: &Failure) -> Result<(), refusal::Kind> {
+        if self.charge_retry() {
             Ok(())
         } else {
-            Err(self.given_up(failure))
+            Err(self.final_refusal(failure))
         }
     }
 
@@ -136,10 +143,11 @@
         left >= RETRY_TIME_MIN + first
     }
 
-    /// Takes a retry out of the budget, if the route allows another server.
-    fn retry_is_paid(&self) -> bool {
+    /// Charges a retry to the budget; false if the route allows no further server
+    /// or the budget is spent.
+    fn charge_retry(&self) -> bool {
         let relay = self.relay;
-        let allowed = self.sent < self.route.attempts
+        let allowed = self.attempts < self.route.attempts
             && relay
                 .budget
                 .spend(&self.service, relay.boxes(), Instant::now());
@@ -149,12 +157,12 @@
         allowed
     }
 
-    fn given_up(&self, failure: &Failure) -> refusal::Kind {
-        match (&failure.cause, self.may_have_run) {
+    fn final_refusal(&self, failure: &Failure) -> refusal::Kind {
+        match (&failure.cause, self.may_have_executed) {
             (Cause::Late, true) => refusal::Kind::Late,
             (_, true) => refusal::Kind::Lost,
             (Cause::Late, false) => refusal::Kind::TimeOver,
-            (Cause::Connect(error), false) if is_refused(error) => refusal::Kind::Down,
+            (Cause::Connect(error), false) if is_connection_refused(error) => refusal::Kind::Down,
             (
                 Cause::Connect(_) | Cause::Withheld(_) | Cause::Refused(answer::MISDIRECTED),
                 false,
@@ -163,10 +171,10 @@
         }
     }
 
-    /// What a refusal of this box becomes once a server may have run the
-    /// request: the kinds that promise the opposite may not be used.
-    pub(super) fn unpromised(&self, kind: refusal::Kind) -> refusal::Kind {
-        if self.may_have_run {
+    /// Replaces a refusal that may promise non-execution by `Lost` once a server
+    /// may have executed the request.
+    pub(super) fn lost_if_may_have_executed(&self, kind: refusal::Kind) -> refusal::Kind {
+        if self.may_have_executed {
             refusal::Kind::Lost
         } else {
             kind
@@ -174,7 +182,7 @@
     }
 }
 
-/// Whether a machine answered that no process takes connections there.
-fn is_refused(error: &io::Error) -> bool {
+/// Whether the machine is up but no process listens at the address.
+fn is_connection_refused(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::ConnectionRefused
 }
--- a/crates/relay/src/exchange/send.rs
+++ b/crates/relay/src/exchange/send.rs
@@ -1,4 +1,4 @@
-//! Choosing a server for a request and sending the request there.
+//! Chooses a server for a request and sends the request there.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,8 +10,8 @@
 use tidepier_core::server::Release;
 use tidepier_platform::request as wire_request;
 
-use super::job::{Exchange, Start};
 use super::report;
+use super::state::{Exchange, Start};
 use crate::attempt::{self, Cause, Dispatch, Executed, Failure, Reply};
 use crate::choose::filter::{Admission, Filter, Regions};
 use crate::choose::{self, Choice, Criteria};
@@ -21,34 +21,36 @@
 use crate::refusal;
 use crate::rollout::Selector;
 
-/// Longest rest of a kept connection for a request that may run only once: a
-/// server that closes a resting connection would make its fate unknown.
-const REST_ONCE: Duration = Duration::from_millis(1_500);
-/// The same to a server in another hall from which nothing was heard for so
-/// long: a cut is found by opening a connection, before anything is sent that
-/// could be lost.
-const REST_OTHER_HALL: Duration = Duration::from_millis(400);
-/// Longest rest of a kept connection for a request that may be repeated.
-const REST_REPEATABLE: Duration = Duration::from_secs(10);
-/// Silence of a server, on all connections, after which a request that may be
-/// repeated is sent elsewhere, unless the server takes a connection.
-const SILENCE: Duration = Duration::from_millis(500);
-/// The same for a server that takes one: an engine that reads some long prompts says
-/// nothing for as long. What is taken from it has to be read anew elsewhere, and an
-/// engine that is thought to be silent keeps requests away, which crowd the others.
-/// Half of the shortest usual patience of clients is left for another server.
-const SILENCE_THERE: Duration = Duration::from_millis(2_000);
-/// Longest wait for a cold server to bear a request: as long as its client would
-/// wait after a refusal, to come back to a box that may have no place either. When
-/// 90 servers are cold before 1,125 requests a second, 31 instead of 59 in 1,000
-/// find no place.
-const COLD_WAIT: Duration = Duration::from_millis(150);
-/// Age of what is known of an order to move a service, as a part of the time in which
-/// a bad release has to be rolled back, up to which a box sends to it.
-const TRUST_PART: f64 = 0.5;
-/// Ranks at a model engine.
-const RANK_LAST: u8 = 9;
-/// Ranks of routes within one rank of accounts.
+/// Longest idle time of a pooled connection for a request that may be executed only
+/// once: if the server closes the idle connection at that moment, it is unknown
+/// whether the request was executed.
+const ONCE_IDLE_MAX: Duration = Duration::from_millis(1_500);
+/// The same for a server in another hall from which nothing was received for this
+/// time: opening a connection detects a network partition before anything is sent
+/// that could be lost.
+const OTHER_HALL_IDLE_MAX: Duration = Duration::from_millis(400);
+/// Longest idle time of a pooled connection for a request that may be repeated.
+const REPEATABLE_IDLE_MAX: Duration = Duration::from_secs(10);
+/// Time without any bytes from a server, on all connections, after which a repeatable
+/// request is sent to another server, unless the server accepts a new connection.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(500);
+/// The same for a server that accepts a connection: an engine in the prefill of some
+/// long prompts sends nothing for as long. A request taken away from it needs its
+/// prefill again at another engine, and requests avoid an engine that counts as unresponsive
+/// and overload the others. Half of the shortest usual client time-out remains for
+/// another server.
+const REACHABLE_SILENCE_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Longest wait until a cold server admits a request. A refused client would wait as
+/// long before its retry, and could reach a box that has no place either. With 90 cold
+/// servers and 1,125 requests a second, the wait reduces the requests without a place
+/// from 59 to 31 in 1,000.
+const COLD_WAIT_MAX: Duration = Duration::from_millis(150);
+/// Age of the last news of a rollout up to which a box sends requests to its new
+/// release, as a fraction of the time in which a faulty release has to be rolled back.
+const ORDER_AGE_PART: f64 = 0.5;
+/// Highest priority rank at a model engine.
+const RANK_MAX: u8 = 9;
+/// Number of route priorities within one account priority.
 const ROUTE_RANKS: u8 = 3;
 
 impl Exchange<'_> {
@@ -60,62 +62,64 @@
         let (choice, permit) = self.place().await?;
         let backend = choice.backend.clone();
         let sent_at = choice.cold.unwrap_or_else(Instant::now);
-        self.sending = Start {
+        self.last_attempt = Start {
             at: Instant::now(),
-            reading: choice.prefill_time,
+            prefill_time: choice.prefill_time,
         };
-        self.note_placed(&choice);
+        self.log_placement(&choice);
         let bytes = self.encode(&choice, resume_after);
-        let rest = self.rest(&backend);
+        let max_idle = self.max_idle(&backend);
         let connected = || {
             backend.pace.reschedule(sent_at, Instant::now());
-            self.note_sent(&backend);
+            self.record_sent_prompt(&backend);
         };
-        let sending = Dispatch {
+        let dispatch = Dispatch {
             on_connected: &connected,
             bytes: &bytes,
             method: self.arrival.head.method(),
             attempt: &self.request.attempt,
             deadline: self.deadline,
-            max_idle: rest,
+            max_idle,
             prefill: choice.prefill_tokens as u64,
             fleet: &self.relay.fleet,
         };
-        let waiting = Waiting::new(&backend, self.route.objective);
-        let others_left = self.sent + 1 < self.route.attempts;
+        let guard = Guard::new(&backend, self.route.objective);
+        let others_left = self.attempts + 1 < self.route.attempts;
         let result = if self.route.kind.repeatable() && others_left {
-            attempt::send(&permit, &sending).or(silence(&backend)).await
+            attempt::send(&permit, &dispatch)
+                .or(until_silent(&backend))
+                .await
         } else {
-            attempt::send(&permit, &sending).await
+            attempt::send(&permit, &dispatch).await
         };
-        waiting.over();
-        self.sent += 1;
+        guard.disarm();
+        self.attempts += 1;
         self.tried.push(backend.server.id.clone());
         Ok((backend, result))
     }
 
-    /// Chooses a server that takes the request now, after a wait if it is cold.
+    /// Chooses a server and obtains its permit; waits first if the server is cold.
     async fn place(&self) -> Result<(Choice, Permit), refusal::Kind> {
-        let mut aim = self.aim();
+        let mut selector = self.release_selector();
         loop {
-            self.may_pass()?;
-            let choice = match self.choose(&aim, Duration::ZERO) {
-                // The other servers have room for what the new ones do not take.
-                Err(_) if aim.is_trial() => {
-                    aim = aim.others();
+            self.check_not_crashing()?;
+            let choice = match self.choose(&selector, Duration::ZERO) {
+                // Servers of the old release take requests that the canaries cannot.
+                Err(_) if selector.is_trial() => {
+                    selector = selector.others();
                     continue;
                 }
-                Err(refusal::Kind::Cold) => self.choose(&aim, COLD_WAIT)?,
+                Err(refusal::Kind::Cold) => self.choose(&selector, COLD_WAIT_MAX)?,
                 chosen => chosen?,
             };
             if let Some(at) = choice.cold {
-                // Its place is taken now, so that no request waits in vain.
+                // Reserve the slot before the wait, so that no later request takes it.
                 choice.backend.pace.sent(at);
                 tidepier_clock::sleep_until(at).await;
-                // What was learned meanwhile counts for it as well.
-                self.may_pass()?;
+                // The content may have been found to crash servers during the wait.
+                self.check_not_crashing()?;
             }
-            // A server that says during the wait that it leaves is in no further choice.
+            // A server that announced during the wait that it is leaving is not chosen again.
             let permit = self.relay.fleet.permit(&choice.backend, Instant::now());
             if let Ok(permit) = permit {
                 return Ok((choice, permit));
@@ -123,33 +127,36 @@
         }
     }
 
-    /// The releases that the request may go to now.
-    fn aim(&self) -> Selector {
+    /// The releases that the request may go to at this moment of a rollout.
+    fn release_selector(&self) -> Selector {
         let relay = self.relay;
-        let again = self.sent > 0 || self.request.resume_after.is_some();
-        let trust = relay.bounds().rollback.mul_f64(TRUST_PART);
+        let is_retry = self.attempts > 0 || self.request.resume_after.is_some();
+        let max_age = relay.bounds().rollback.mul_f64(ORDER_AGE_PART);
         let serving = relay.fleet.serving(&self.service);
         let servers = |release: &Release| {
             let run = serving.iter().map(|it| it.server.release.as_ref());
             run.filter(|run| *run == Some(release)).count()
         };
         let now = Instant::now();
-        let aim = relay
-            .rollouts
-            .release_selector(&self.service, again, trust, servers, now);
-        // With no other server a refusal would be worse than a release on trial.
-        let is_any = serving.iter().any(|it| aim.admits(&it.server));
-        if is_any || serving.is_empty() {
-            aim
+        let selector =
+            relay
+                .rollouts
+                .release_selector(&self.service, is_retry, max_age, servers, now);
+        // Without another server, a release on trial is better than a refusal.
+        let any_admitted = serving.iter().any(|it| selector.admits(&it.server));
+        if any_admitted || serving.is_empty() {
+            selector
         } else {
             Selector::Any
         }
     }
 
-    /// Whether the request may go to a server: each sending of one that ends its
-    /// servers costs a server and what other callers have there, also a repeat, a
-    /// resumed stream, and one that waited.
-    fn may_pass(&self) -> Result<(), refusal::Kind> {
+    /// Checks that the content of the request is not known to crash servers.
+    ///
+    /// Called before every attempt, also of a retry, a resumed stream and a request that
+    /// waited: each attempt of such a request costs a server and the requests that other
+    /// clients have there.
+    fn check_not_crashing(&self) -> Result<(), refusal::Kind> {
         let refused = self
             .relay
             .crashes
@@ -158,37 +165,37 @@
         refused.map_or(Ok(()), |left| Err(refusal::Kind::Crashing(left)))
     }
 
-    /// Remembers that a server gets the prompt: from now on it is likely to
-    /// keep it, but not if no connection to it came up.
-    fn note_sent(&self, backend: &Backend) {
+    /// Records that a server gets the prompt and from now on probably has it in its
+    /// KV cache. Called once a connection is open: without one nothing was sent.
+    fn record_sent_prompt(&self, backend: &Backend) {
         if let Some(prompt) = &self.request.prompt {
             let traffic = &self.relay.traffic;
             traffic.sent(prompt, backend.key, Instant::now());
         }
     }
 
-    /// Longest rest of a kept connection that may carry the request.
-    fn rest(&self, backend: &Backend) -> Duration {
+    /// Longest idle time of a pooled connection that may carry the request.
+    fn max_idle(&self, backend: &Backend) -> Duration {
         let other_hall = backend.server.hall != self.relay.hall;
         if other_hall
             && !backend
                 .hall
-                .received_within(REST_OTHER_HALL, Instant::now())
+                .received_within(OTHER_HALL_IDLE_MAX, Instant::now())
         {
-            REST_OTHER_HALL
+            OTHER_HALL_IDLE_MAX
         } else if self.route.kind.repeatable() {
-            REST_REPEATABLE
+            REPEATABLE_IDLE_MAX
         } else {
-            REST_ONCE
+            ONCE_IDLE_MAX
         }
     }
 
-    /// Chooses a server; a cold one may make the request wait for so long.
-    fn choose(&self, aim: &Selector, patience: Duration) -> Result<Choice, refusal::Kind> {
+    /// Chooses a server; the request may wait up to `max_wait` for a cold one.
+    fn choose(&self, selector: &Selector, max_wait: Duration) -> Result<Choice, refusal::Kind> {
         let relay = self.relay;
         let regions = relay.regions();
-        let filter = self.filter(&regions, aim, patience);
-        let ask = Criteria {
+        let filter = self.filter(&regions, selector, max_wait);
+        let criteria = Criteria {
             prompt: self.request.prompt.as_ref(),
             copy_ms: self.copy_ms,
             tried: &self.tried,
@@ -199,16 +206,22 @@
             crowd_factor: relay.bounds().crowd_factor,
         };
         let now = Instant::now();
-        let choice = choose::choose(&relay.fleet, &self.service, &ask, &relay.traffic.index, now);
-        choice.ok_or_else(|| self.nowhere(&filter, now))
+        let choice = choose::choose(
+            &relay.fleet,
+            &self.service,
+            &criteria,
+            &relay.traffic.index,
+            now,
+        );
+        choice.ok_or_else(|| self.no_choice_refusal(&filter, now))
     }
 
-    /// The servers that the request may not go to.
+    /// The constraints on the servers that the request may go to.
     fn filter<'a>(
         &'a self,
         regions: &'a Regions,
-        aim: &'a Selector,
-        patience: Duration,
+        selector: &'a Selector,
+        max_wait: Duration,
     ) -> Filter<'a> {
         let relay = self.relay;
         let bounds = relay.bounds();
@@ -216,7 +229,7 @@
         let gate = self.cold.map(|cold| Admission {
             limit: Limit::new(cold, bounds.cold_overage, bounds.cold_tolerance),
             roster: &relay.roster,
-            max_wait: patience,
+            max_wait,
         });
         Filter {
             allowed_regions: [
@@ -225,28 +238,28 @@
             ],
             regions: Some(regions),
             gate,
-            release_selector: (*aim != Selector::Any).then_some(aim),
+            release_selector: (*selector != Selector::Any).then_some(selector),
         }
     }
 
-    /// Why there is no server that the request may go to.
-    fn nowhere(&self, filter: &Filter<'_>, now: Instant) -> refusal::Kind {
+    /// The refusal that explains why no server can take the request.
+    fn no_choice_refusal(&self, filter: &Filter<'_>, now: Instant) -> refusal::Kind {
         let fleet = &self.relay.fleet;
         let servers = fleet.serving(&self.service);
-        let aimed = servers.iter().filter(|it| filter.matches_release(it));
-        let home = aimed.filter(|it| filter.is_allowed_hall(&it.server.hall));
-        let home: Vec<&Rc<Backend>> = home.collect();
+        let matching = servers.iter().filter(|it| filter.matches_release(it));
+        let allowed = matching.filter(|it| filter.is_allowed_hall(&it.server.hall));
+        let allowed: Vec<&Rc<Backend>> = allowed.collect();
         if servers.is_empty() && !fleet.emptied(&self.service).is_empty() {
             refusal::Kind::Emptied
         } else if servers.is_empty() && fleet.leaving(&self.service) > 0 {
             refusal::Kind::Leaving
         } else if servers.is_empty() {
             refusal::Kind::NoServer
-        } else if home.is_empty() {
+        } else if allowed.is_empty() {
             refusal::Kind::NoRegion
-        } else if let Some(rest) = fleet::earliest_backoff(home.iter().copied(), now) {
-            refusal::Kind::BackingOff(rest.retry_delay(self.route.priority, now))
-        } else if home
+        } else if let Some(backoff) = fleet::earliest_backoff(allowed.iter().copied(), now) {
+            refusal::Kind::BackingOff(backoff.retry_delay(self.route.priority, now))
+        } else if allowed
             .iter()
             .all(|it| it.is_backing_off(now) || !filter.has_cold_capacity(it, now))
         {
@@ -275,25 +288,26 @@
         bytes
     }
 
-    /// Urgency at a model engine: the account's rank goes before the route's.
+    /// Priority rank at a model engine: the account's priority outranks the route's.
     fn rank(&self) -> u8 {
         let account = self.account.as_ref().map_or(0, |account| account.priority);
         let route = self.route.priority.min(ROUTE_RANKS - 1);
         account
             .saturating_mul(ROUTE_RANKS)
             .saturating_add(route)
-            .min(RANK_LAST)
+            .min(RANK_MAX)
     }
 }
 
-/// Ends when a server has been silent on all connections since now.
-async fn silence(backend: &Rc<Backend>) -> Result<Reply, Failure> {
+/// Completes with a failure once a server has sent nothing on any connection for the
+/// silence time-out.
+async fn until_silent(backend: &Rc<Backend>) -> Result<Reply, Failure> {
     let mut since = Instant::now();
     loop {
-        tidepier_clock::sleep_until(since + SILENCE).await;
-        let is_silent = || backend.last_received().is_none_or(|heard| heard <= since);
+        tidepier_clock::sleep_until(since + SILENCE_TIMEOUT).await;
+        let is_silent = || backend.last_received().is_none_or(|at| at <= since);
         if is_silent() && attempt::accepts_connection(backend).await {
-            tidepier_clock::sleep_until(since + SILENCE_THERE).await;
+            tidepier_clock::sleep_until(since + REACHABLE_SILENCE_TIMEOUT).await;
         }
         if is_silent() {
             return Err(Failure {
@@ -305,33 +319,34 @@
     }
 }
 
-/// Counts a server as silent when the wait for its answer is abandoned after
-/// a time in which every healthy server answers, as when the client leaves.
-struct Waiting<'a> {
+/// Records a server as unresponsive if the wait for its answer is abandoned, for example
+/// because the client disconnects, after a time within which every healthy server
+/// answers.
+struct Guard<'a> {
     backend: &'a Backend,
     since: Instant,
-    patience: Duration,
-    over: bool,
+    threshold: Duration,
+    disarmed: bool,
 }
 
-impl<'a> Waiting<'a> {
+impl<'a> Guard<'a> {
     fn new(backend: &'a Backend, objective: Duration) -> Self {
         Self {
             backend,
             since: Instant::now(),
-            patience: report::patience(objective),
-            over: false,
+            threshold: report::silence_threshold(objective),
+            disarmed: false,
         }
     }
 
-    fn over(mut self) {
-        self.over = true;
+    fn disarm(mut self) {
+        self.disarmed = true;
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for Guard<'_> {
     fn drop(&mut self) {
-        if !self.over && self.since.elapsed() > self.patience {
+        if !self.disarmed && self.since.elapsed() > self.threshold {
             self.backend.record(Outcome::Unresponsive, Instant::now());
         }
     }
--- /dev/null
+++ b/crates/relay/src/exchange/state.rs
@@ -0,0 +1,88 @@
+//! The state of one request while it is handled.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use tidepier_clock::Instant;
+use tidepier_core::catalog::{Account, Cold, Route};
+use tidepier_core::request::Request;
+use tidepier_h1::{Head, Writer};
+use tidepier_ids as ids;
+use tidepier_platform::answer;
+
+use super::buffered::Answer;
+use crate::content::Fingerprint;
+use crate::relay::Relay;
+
+/// A request as read from the client's connection.
+pub struct IncomingRequest<'a> {
+    /// The head.
+    pub head: &'a Head,
+    /// The complete body.
+    pub body: &'a [u8],
+    /// Whether the head announced a body.
+    pub has_body: bool,
+    /// When the head arrived.
+    pub at: Instant,
+    /// Whether the connection closes after this request.
+    pub close: bool,
+}
+
+/// The start of one attempt to send the request to a server.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Start {
+    pub(super) at: Instant,
+    /// Time that the server may need for the prefill of the prompt; this part of the
+    /// delay does not count as slowness.
+    pub(super) prefill_time: Duration,
+}
+
+/// An admitted request and the state of its handling.
+pub(super) struct Exchange<'a> {
+    pub(super) relay: &'a Relay,
+    pub(super) arrival: &'a IncomingRequest<'a>,
+    pub(super) writer: &'a Writer,
+    pub(super) request: Request,
+    /// Fingerprint of its content, the same for every attempt.
+    pub(super) content: Fingerprint,
+    pub(super) route: Arc<Route>,
+    pub(super) account: Option<Arc<Account>>,
+    pub(super) service: ids::Service,
+    /// Most connections of this box to one server.
+    pub(super) connections: u32,
+    /// Rate of requests that a server admits while it is cold.
+    pub(super) cold: Option<Cold>,
+    /// Time in ms to copy the KV cache of a token between engines; `None` if the
+    /// engines of the service cannot copy.
+    pub(super) copy_ms: Option<f64>,
+    /// Deadline for the final answer.
+    pub(super) deadline: Instant,
+    pub(super) tried: Vec<ids::Server>,
+    /// The start of the latest attempt.
+    pub(super) last_attempt: Start,
+    /// Number of servers that it was sent to, without those counted as absent.
+    pub(super) attempts: u32,
+    /// Number of servers that were absent: no connection could be opened, or
+    /// another server answers at the address.
+    pub(super) absent_count: u32,
+    /// Whether the retry budget has already been charged for the next attempt.
+    pub(super) retry_charged: bool,
+    /// Whether a server may have executed it.
+    pub(super) may_have_executed: bool,
+    /// A server's 5xx answer, which the client gets if no other server answers.
+    pub(super) fallback: Option<Answer>,
+}
+
+impl Exchange<'_> {
+    /// Whether the client's connection closes after this answer.
+    pub(super) fn closes(&self) -> bool {
+        self.arrival.close || self.relay.closes_clients()
+    }
+
+    /// Encodes the head of an answer for the client.
+    pub(super) fn head(&self, head: &Head, length: answer::Length, close: bool) -> Vec<u8> {
+        let mut out = Vec::new();
+        answer::encode(head, length, close, &mut out);
+        out
+    }
+}
--- a/crates/relay/src/exchange/stream/series.rs
+++ b/crates/relay/src/exchange/stream/events.rs
@@ -1,7 +1,7 @@
-//! A series of events that is passed on as they arrive.
+//! Forwards the events of a stream as they arrive.
 //!
-//! Invariant: of an answer that breaks off, only whole events are passed on, so
-//! that another server can go on after the last of them.
+//! Invariant: of a stream that breaks off, only complete events are forwarded, so
+//! that another server can resume it after the last of them.
 
 use std::cell::Cell;
 use std::io::Write;
@@ -13,26 +13,28 @@
 use tidepier_h1::Framing;
 use tidepier_platform::answer::Length;
 
-use super::scrap;
+use super::discard;
 use crate::attempt::{Cause, Executed, Failure, Reply};
 use crate::events::Events;
-use crate::exchange::end::Disposition;
-use crate::exchange::job::Exchange;
+use crate::exchange::disposition::Disposition;
+use crate::exchange::state::Exchange;
 use crate::fleet::Backend;
 use crate::timeout::Limit;
 
-/// Pauses promised by a route after which a resumable stream counts as stuck.
+/// Multiple of the pause between events that a route promises, after which a
+/// resumable stream counts as stalled.
 const STALL_PAUSES: u32 = 4;
-/// Longest silence of a resumable stream where its route promises nothing.
-const STALL_TIME: Duration = Duration::from_millis(1_500);
+/// Time without bytes after which a resumable stream counts as stalled if its route
+/// promises no pause.
+const STALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// What a stream's answer looks like to the client.
+/// The client's side of a stream.
 struct Client {
-    /// Events go out in chunks; else as they are, up to the connection's end.
+    /// Whether the body is chunked; otherwise the connection's end delimits it.
     chunked: bool,
-    /// The connection is closed after the answer.
+    /// Whether the connection closes after the answer.
     close: bool,
-    /// Time to the first event, once it was passed on.
+    /// Time from the request's arrival to the first event, once that was forwarded.
     first: Cell<Option<Duration>>,
 }
 
@@ -46,9 +48,10 @@
         }
     }
 
-    /// What becomes of the connection of an answer that cannot be completed. A chunked
-    /// one without its last chunk is incomplete in itself.
-    fn broken(&self) -> Disposition {
+    /// What happens to the connection of an answer that cannot be completed. A
+    /// chunked body without its last chunk is visibly incomplete, so that closing
+    /// suffices.
+    fn incomplete_action(&self) -> Disposition {
         if self.chunked {
             Disposition::Close
         } else {
@@ -65,12 +68,12 @@
     }
 }
 
-/// Passes events on as they arrive.
+/// Forwards events as they arrive.
 ///
 /// # Errors
 ///
-/// The series broke off before anything was passed on.
-pub(super) async fn pass(
+/// The stream broke off before anything was forwarded.
+pub(super) async fn forward(
     exchange: &mut Exchange<'_>,
     mut backend: Rc<Backend>,
     mut reply: Reply,
@@ -91,24 +94,24 @@
             &mut out,
         );
         let failure = match copied.await {
-            Ok(Copied::Whole) => return Ok(finish(exchange, &client, backend, reply).await),
-            Ok(Copied::Gone) => return Ok(Disposition::Close),
+            Ok(Copied::Complete) => return Ok(finish(exchange, &client, backend, reply).await),
+            Ok(Copied::ClientGone) => return Ok(Disposition::Close),
             Err(failure) => failure,
         };
-        // Nothing was passed on yet: as though there had been no answer.
+        // Nothing was forwarded yet, so the request can still be retried as a whole.
         if client.first.get().is_none() {
             return Err(failure);
         }
         drop(reply);
-        exchange.failed(&backend, &failure);
+        exchange.record_failure(&backend, &failure);
         let next = if resumable {
             resume(exchange, failure, events.last()).await
         } else {
             None
         };
         let Some(next) = next else {
-            note_broken(exchange, &backend, resumable, events.last());
-            return Ok(client.broken());
+            log_broken(exchange, &backend, resumable, events.last());
+            return Ok(client.incomplete_action());
         };
         metrics::counter!("tidepier_streams_resumed_total").increment(1);
         events.rest();
@@ -116,7 +119,7 @@
     }
 }
 
-fn note_broken(exchange: &Exchange<'_>, backend: &Backend, resumable: bool, last: Option<u64>) {
+fn log_broken(exchange: &Exchange<'_>, backend: &Backend, resumable: bool, last: Option<u64>) {
     log::info!(
         target: "request",
         "event=broken id={} server={} resumable={resumable} last_event={last:?} ms={}",
@@ -138,7 +141,7 @@
     }
     drop(reply.running);
     let first = client.first.get().unwrap_or_default();
-    exchange.answered(&backend, reply.answer.status, first);
+    exchange.record_answer(&backend, reply.answer.status, first);
     if client.close {
         Disposition::Close
     } else {
@@ -146,7 +149,7 @@
     }
 }
 
-/// Sends the request again to go on after the last event passed on.
+/// Sends the request again, to resume the stream after the last forwarded event.
 async fn resume(
     exchange: &mut Exchange<'_>,
     mut failure: Failure,
@@ -168,19 +171,19 @@
                 return Some((backend, reply));
             }
             Ok(reply) => {
-                let failure = refused(&reply);
-                scrap::keep_after(&backend, reply, exchange.deadline).await;
+                let failure = resume_failure(&reply);
+                discard::body(&backend, reply, exchange.deadline).await;
                 failure
             }
             Err(failure) => failure,
         };
-        exchange.failed(&backend, &failure);
+        exchange.record_failure(&backend, &failure);
     }
 }
 
-/// What an answer that is no stream to go on with says: an error of the
-/// server's own is a failure of that server, as at a first sending.
-fn refused(reply: &Reply) -> Failure {
+/// The failure for an answer that does not resume the stream. A 5xx status counts
+/// as a failure of the server, as it does at the first attempt.
+fn resume_failure(reply: &Reply) -> Failure {
     let status = reply.answer.status;
     let not_run = reply.answer.not_run;
     Failure {
@@ -198,14 +201,14 @@
 }
 
 enum Copied {
-    /// The answer is whole.
-    Whole,
-    /// The client cannot be written to.
-    Gone,
+    /// The answer is complete.
+    Complete,
+    /// Writing to the client failed.
+    ClientGone,
 }
 
-/// Copies events until the answer ends. `out` holds what is to be written
-/// before the first event.
+/// Copies events to the client until the answer ends. `out` holds the bytes to
+/// write before the first event.
 async fn copy(
     exchange: &Exchange<'_>,
     client: &Client,
@@ -219,31 +222,31 @@
         let more = read_some(exchange, client, reply, events, limit).await?;
         backend.record_received();
         reply.running.answer_started();
-        let whole = if more { events.take() } else { events.rest() };
-        if !whole.is_empty() {
-            push(out, &whole, client.chunked);
+        let complete = if more { events.take() } else { events.rest() };
+        if !complete.is_empty() {
+            push_events(out, &complete, client.chunked);
         }
         if !more && client.chunked {
             out.extend_from_slice(b"0\r\n\r\n");
         }
-        if !whole.is_empty() || !more {
+        if !complete.is_empty() || !more {
             if client.first.get().is_none() {
                 client.first.set(Some(exchange.arrival.at.elapsed()));
             }
             if exchange.writer.write_all(out).await.is_err() {
-                return Ok(Copied::Gone);
+                return Ok(Copied::ClientGone);
             }
             out.clear();
         }
         if !more {
-            return Ok(Copied::Whole);
+            return Ok(Copied::Complete);
         }
     }
 }
 
-fn push(out: &mut Vec<u8>, bytes: &[u8], chunked: bool) {
+fn push_events(out: &mut Vec<u8>, bytes: &[u8], chunked: bool) {
     if chunked {
-        // Writing to a vector does not fail.
+        // Writing to a `Vec` does not fail.
         let _ = write!(out, "{:x}\r\n", bytes.len());
     }
     out.extend_from_slice(bytes);
@@ -264,7 +267,7 @@
     let stall = match exchange.route.pause {
         _ if client.first.get().is_none() => None,
         Some(pause) if stalls => Some(STALL_PAUSES * pause),
-        None if stalls => Some(STALL_TIME),
+        None if stalls => Some(STALL_TIMEOUT),
         _ => None,
     };
     let until = stall.map_or(exchange.deadline, |stall| {
--- a/crates/relay/src/exchange/stream/mod.rs
+++ b/crates/relay/src/exchange/stream/mod.rs
@@ -1,40 +1,40 @@
-//! Passing an answer on to the client.
+//! Forwards an answer to the client.
 //!
-//! An answer that is not a stream is read whole first, so that one that breaks
-//! off can still be replaced. A stream is passed on by whole events as they
-//! arrive; where the route allows it, one that breaks goes on at another
-//! server after the last event passed on.
+//! An answer that is not a stream is read completely first, so that a truncated
+//! one can still be replaced by another server's. A stream is forwarded event by
+//! event as complete events arrive; if the route allows it, a broken stream is
+//! resumed at another server after the last forwarded event.
 //!
-//! Invariant: what the client gets ends as complete only if what the server
-//! sent did.
+//! Invariant: the client sees an answer as complete only if the server completed
+//! it.
 
-pub(super) mod scrap;
-mod series;
+pub(super) mod discard;
+mod events;
 mod whole;
 
 use std::rc::Rc;
 
-use super::end::Disposition;
-use super::job::Exchange;
+use super::disposition::Disposition;
+use super::state::Exchange;
 use crate::attempt::{Failure, Reply};
 use crate::fleet::Backend;
 
-pub(super) use whole::set_aside;
+pub(super) use whole::read_fallback;
 
-/// Passes an answer on.
+/// Forwards an answer.
 ///
 /// # Errors
 ///
-/// It broke off before anything was passed on.
-pub(super) async fn pass(
+/// It failed before anything was forwarded.
+pub(super) async fn forward(
     exchange: &mut Exchange<'_>,
     backend: Rc<Backend>,
     reply: Reply,
 ) -> Result<Disposition, Failure> {
     let bodiless = exchange.arrival.head.method() == "HEAD";
     if exchange.route.kind.is_stream() && reply.answer.status == 200 && !bodiless {
-        series::pass(exchange, backend, reply).await
+        events::forward(exchange, backend, reply).await
     } else {
-        whole::pass(exchange, backend, reply).await
+        whole::forward(exchange, backend, reply).await
     }
 }
