--- a/crates/relay/src/exchange/stream/events.rs
+++ b/crates/relay/src/exchange/stream/events.rs
@@ -19,7 +19,7 @@
 use crate::exchange::disposition::Disposition;
 use crate::exchange::state::Exchange;
 use crate::fleet::Backend;
-use crate::timeout::Limit;
+use crate::timeout::Deadline;
 
 /// Multiple of the pause between events that a route promises, after which a
 /// resumable stream counts as stalled.
@@ -81,7 +81,7 @@
     let client = Client::new(exchange, &reply);
     let mut out = exchange.head(&reply.head, client.length(), client.close);
     let mut events = Events::default();
-    let mut limit = Limit::new(exchange.deadline);
+    let mut limit = Deadline::new(exchange.deadline);
     let resumable = exchange.route.kind == Kind::Stream { resumable: true };
     loop {
         let copied = copy(
@@ -215,7 +215,7 @@
     backend: &Rc<Backend>,
     reply: &mut Reply,
     events: &mut Events,
-    limit: &mut Limit,
+    limit: &mut Deadline,
     out: &mut Vec<u8>,
 ) -> Result<Copied, Failure> {
     loop {
@@ -261,7 +261,7 @@
     client: &Client,
     reply: &mut Reply,
     events: &mut Events,
-    limit: &mut Limit,
+    limit: &mut Deadline,
 ) -> Result<bool, Failure> {
     let stalls = exchange.route.kind == Kind::Stream { resumable: true };
     let stall = match exchange.route.pause {
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -79,7 +79,7 @@
         PATH => Page::new("200 OK", registry.render()),
         _ => Page::not_found(),
     };
-    ready::pages("metrics", listener, &page).await;
+    ready::serve_pages("metrics", listener, &page).await;
 }
 
 impl Registry {
--- a/crates/relay/src/ready.rs
+++ b/crates/relay/src/ready.rs
@@ -1,8 +1,9 @@
-//! Reporting to the platform whether the process takes new connections.
+//! The readiness endpoint: reports to the platform whether the process accepts new
+//! connections.
 //!
-//! The answer is the process's own judgement at that moment: it is asked for
-//! anew for every call and never kept. The endpoint serves a few connections
-//! only, since the platform needs one, and holds none that rests.
+//! Readiness is evaluated anew for every request and never cached. The endpoint
+//! serves only a few connections at once, since the platform needs one, and closes
+//! idle ones.
 
 use std::cell::Cell;
 use std::io;
@@ -14,29 +15,30 @@
 
 use crate::timeout;
 
-/// A connection that rests this long is closed. Many times the second between
-/// two calls of the platform.
-const IDLE: Duration = Duration::from_secs(15);
-/// An answer that the peer does not take for so long ends the connection.
-const UNACKED: Duration = Duration::from_secs(3);
-/// Most connections at once; the platform's, and some of people who look.
-const CONNECTIONS: usize = 16;
-/// Largest head of a call, in bytes.
-const HEAD_BYTES: usize = 4 << 10;
-/// Pause after no connection could be accepted, as for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(200);
+/// Time after which an idle connection is closed; many times the platform's interval
+/// of one second between two requests.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time after which a connection is closed whose peer does not acknowledge sent data.
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(3);
+/// Most connections at once: the platform's, and a few for people who inspect the
+/// endpoint.
+const CONNECTIONS_MAX: usize = 16;
+/// Largest head of a request, in bytes.
+const HEAD_BYTES_MAX: usize = 4 << 10;
+/// Pause after a failed accept, for example when file descriptors are exhausted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Answers to whoever asks at `listener` whether the process is `ready`.
+/// Serves the readiness endpoint at `listener`; `ready` is evaluated per request.
 pub async fn serve(listener: Listener, ready: impl Fn() -> bool) {
     let page = |path: &str| match path {
         monitoring::READY if ready() => Page::new("200 OK", "ready\n".into()),
         monitoring::READY => Page::new("503 Service Unavailable", "not ready\n".into()),
         _ => Page::not_found(),
     };
-    pages("readiness", listener, &page).await;
+    serve_pages("readiness", listener, &page).await;
 }
 
-/// An answer in text.
+/// A plain text answer.
 pub(crate) struct Page {
     status: &'static str,
     text: String,
@@ -62,28 +64,28 @@
     }
 }
 
-/// Answers `GET` at `listener` by `page`, which is given the path.
-pub(crate) async fn pages(name: &str, listener: Listener, page: &impl Fn(&str) -> Page) {
+/// Serves `GET` requests at `listener`; `page` makes the answer for a path.
+pub(crate) async fn serve_pages(name: &str, listener: Listener, page: &impl Fn(&str) -> Page) {
     let open = Cell::new(0);
     let tasks = LocalExecutor::new();
     let accept = async {
         loop {
-            match listener.accept(UNACKED).await {
-                Ok(conn) if open.get() < CONNECTIONS => {
+            match listener.accept(UNACKED_TIMEOUT).await {
+                Ok(conn) if open.get() < CONNECTIONS_MAX => {
                     open.set(open.get() + 1);
                     let open = &open;
-                    let talk = async move {
-                        converse(name, conn, page).await;
+                    let connection = async move {
+                        serve_connection(name, conn, page).await;
                         open.set(open.get() - 1);
                     };
-                    tasks.spawn(talk).detach();
+                    tasks.spawn(connection).detach();
                 }
                 Ok(_) => {
                     ::log::warn!(target: "listen", "event=connection_refused at={name} why=crowded")
                 }
                 Err(error) => {
                     ::log::warn!(target: "listen", "event=accept_failed at={name} why={error:?}");
-                    Timer::after(ACCEPT_PAUSE).await;
+                    Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -91,9 +93,9 @@
     tasks.run(accept).await
 }
 
-async fn converse(name: &str, mut conn: Conn, page: &impl Fn(&str) -> Page) {
+async fn serve_connection(name: &str, mut conn: Conn, page: &impl Fn(&str) -> Page) {
     loop {
-        match exchange(&mut conn, page).await {
+        match serve_request(&mut conn, page).await {
             Ok(true) => {}
             Ok(false) => return,
             Err(error) => {
@@ -104,9 +106,9 @@
     }
 }
 
-/// One call and its answer; whether another may follow.
-async fn exchange(conn: &mut Conn, page: &impl Fn(&str) -> Page) -> Result<bool, Malformed> {
-    let head = timeout::within(IDLE, conn.head(HEAD_BYTES)).await;
+/// Handles one request; returns whether the connection can carry another.
+async fn serve_request(conn: &mut Conn, page: &impl Fn(&str) -> Page) -> Result<bool, Malformed> {
+    let head = timeout::within(IDLE_TIMEOUT, conn.head(HEAD_BYTES_MAX)).await;
     let Some(head) = head.unwrap_or(Ok(None))? else {
         return Ok(false);
     };
@@ -130,9 +132,9 @@
     page(path)
 }
 
-/// Writes an answer to a peer that takes it in time.
+/// Writes an answer, with a time limit for slow peers.
 async fn write(conn: &Conn, bytes: &[u8]) -> io::Result<()> {
     let writer = conn.writer();
-    let written = timeout::within(IDLE, writer.write_all(bytes)).await;
+    let written = timeout::within(IDLE_TIMEOUT, writer.write_all(bytes)).await;
     written.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))
 }
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -1,5 +1,5 @@
-//! What the tasks of one router share. Each part stands alone; no part knows
-//! this module.
+//! The state that the tasks of one router share. The modules of its parts do not
+//! depend on this module or on each other.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -24,76 +24,78 @@
 use crate::traffic::Traffic;
 use crate::view::View;
 
-/// Boxes that are assumed while none has been counted.
-const BOXES_ASSUMED: usize = 12;
+/// Number of boxes assumed until they have been counted.
+const BOXES_DEFAULT: usize = 12;
 
-/// Descriptors kept for all but clients and servers: 200 that the platform keeps
-/// for files, 768 for other boxes, and those of readiness, metrics and store.
-const DESCRIPTORS_KEPT: u32 = 1_050;
-/// Descriptors for each client: its own, one at the server of its request, and
-/// one for a connection that rests at another server after its last request.
-const DESCRIPTORS_EACH: u32 = 3;
-/// Part of the descriptors that is the clients' where less would be left: so
-/// few are for trials, with few other boxes.
-const DESCRIPTORS_PART: u32 = 6;
+/// File descriptors reserved for everything except clients and servers: 200 that the
+/// platform reserves for files, 768 for connections of other boxes, and the rest for
+/// readiness, metrics and the store.
+const DESCRIPTORS_RESERVED: u32 = 1_050;
+/// File descriptors per client: its own connection, the connection to the server of
+/// its request, and an idle one to the server of its previous request.
+const DESCRIPTORS_PER_CLIENT: u32 = 3;
+/// Divisor of the descriptor limit that gives the fewest clients to accept. It applies
+/// where the reserve would leave fewer: such low limits are used in trial setups, which
+/// have few other boxes.
+const CLIENTS_MIN_DIVISOR: u32 = 6;
 
-/// Bounds that a request is decided by.
+/// Bounds on the decisions about requests.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Age of the proof of the catalog under which a missing route or an
-    /// unknown key is a fact: the time in which a change has to be in force.
+    /// Time since the last confirmation of the catalog up to which a missing route or an
+    /// unknown key is proven not to exist: the time in which a change has to be in force.
     pub catalog_max_age: Duration,
-    /// Time in which all that the operator writes has to be in force: proofs are
-    /// asked for at a part of it.
+    /// Time in which everything that the operator writes has to be in force. The catalog
+    /// is confirmed at intervals of a fraction of it.
     pub confirm_within: Duration,
-    /// Age of the proof under which a key is trusted; `None`: always.
+    /// Time since the last confirmation of the catalog up to which a key is accepted;
+    /// `None`: always.
     pub key_max_age: Option<Duration>,
-    /// Time after the end of the store's trouble from which its word counts
-    /// again: an entry that is absent then is gone.
+    /// Time after the end of a store outage from which the store is authoritative
+    /// again: an entry that is missing then is gone.
     pub grace_period: Duration,
-    /// Requests a second that a cold server may get, in multiples of what its
-    /// service says it bears, ...
+    /// Rate of requests that a cold server may get, in multiples of the rate that its
+    /// service declares for cold servers, ...
     pub cold_overage: f64,
-    /// ... and beyond that.
+    /// ... and the requests a second allowed in addition.
     pub cold_tolerance: f64,
-    /// Time in which the operator writes again what the store lost as it went back to an
-    /// older copy.
+    /// Time in which the operator rewrites the entries that the store lost by returning
+    /// from an older copy.
     pub rewrite_within: Duration,
-    /// Time in which a server that is silent loses its entry.
+    /// Time after which a server without heartbeats has lost its entry.
     pub entry_ttl: Duration,
-    /// Most load of one server, in multiples of the mean of its service.
+    /// Highest load of one server, in multiples of the mean of its service.
     pub crowd_factor: f64,
-    /// Part of a service's requests that a bad release may get.
+    /// Fraction of a service's requests that a faulty release may get.
     pub exposure: f64,
-    /// Time from when a release is known to be bad until nothing goes there.
+    /// Time from the detection of a faulty release until it gets no more requests.
     pub rollback: Duration,
 }
 
-/// One router.
+/// The shared state of one router.
 pub struct Relay {
-    /// When it started.
+    /// When the router started.
     pub started: Instant,
     /// The hall of this box.
     pub hall: ids::Hall,
     bounds: Cell<Bounds>,
     /// The catalog in force.
     pub view: View,
-    /// The era of the store, and how far its word holds.
+    /// The era of the store, and how far the store is authoritative.
     pub standing: EraState,
     /// The backend servers.
     pub fleet: Rc<Fleet>,
-    /// What is known of the requests that other boxes place, and where prompts
-    /// were sent.
+    /// Load reported by other boxes, and the servers that prompts were sent to.
     pub traffic: Traffic,
-    /// Services that are moved to other releases.
+    /// The rollouts of services to other releases.
     pub rollouts: Rollouts,
-    /// Servers that ended under requests, and what is refused for it.
+    /// Server crashes under requests, and the contents refused because of them.
     pub crashes: Rc<Crashes>,
-    /// Retries that may be spent.
+    /// The retry budget.
     pub budget: Budget,
-    /// The planned stop.
+    /// The state of the graceful shutdown.
     pub stop: Stop,
-    /// The boxes that share what cold servers bear.
+    /// The boxes that share the request rates of cold servers.
     pub roster: Roster,
     regions: RefCell<Rc<Regions>>,
     boxes: Cell<usize>,
@@ -101,7 +103,7 @@
 }
 
 impl Relay {
-    /// A router that knows nothing yet.
+    /// The state of a router that has not received anything yet.
     pub fn new(hall: ids::Hall, bounds: Bounds, budget: Budget) -> Self {
         Self {
             started: Instant::now(),
@@ -117,17 +119,17 @@
             stop: Stop::default(),
             roster: Roster::default(),
             regions: RefCell::default(),
-            boxes: Cell::new(BOXES_ASSUMED),
+            boxes: Cell::new(BOXES_DEFAULT),
             clients_max: Cell::new(u32::MAX),
         }
     }
 
-    /// Bounds that a request is decided by.
+    /// The bounds on the decisions about requests.
     pub fn bounds(&self) -> Bounds {
         self.bounds.get()
     }
 
-    /// Changes the bounds.
+    /// Replaces the bounds.
     pub fn set_bounds(&self, bounds: Bounds) {
         self.bounds.set(bounds);
     }
@@ -137,62 +139,65 @@
         self.regions.borrow().clone()
     }
 
-    /// Changes the region of each hall.
+    /// Replaces the regions of the halls.
     pub fn set_regions(&self, regions: Regions) {
         *self.regions.borrow_mut() = Rc::new(regions);
     }
 
-    /// The halls that the settings name, and those that servers are in.
+    /// The halls that the settings name, this box's hall, and the halls of the servers.
     pub fn halls(&self) -> BTreeSet<ids::Hall> {
         let regions = self.regions.borrow();
         let named = regions.keys().cloned().chain([self.hall.clone()]);
         named.chain(self.fleet.halls()).collect()
     }
 
-    /// Whether the box can serve new connections.
+    /// Whether the box can serve new connections: it knows servers and a catalog recent
+    /// enough to accept keys, has checked after its start whether other boxes know more
+    /// than the store, and does not shut down.
     pub fn is_ready(&self) -> bool {
-        let knows = self.view.catalog().is_some() && !self.fleet.is_empty();
+        let informed = self.view.catalog().is_some() && !self.fleet.is_empty();
         let trusted = self.bounds().key_max_age;
         let trusted = trusted.is_none_or(|most| self.view.is_fresh(most));
-        knows && trusted && self.standing.may_begin() && self.stop.phase() == Phase::Serving
+        informed && trusted && self.standing.may_begin() && self.stop.phase() == Phase::Serving
     }
 
-    /// Whether clients' connections are closed after the next answer: their
-    /// next requests are better served by another box, or others wait.
+    /// Whether client connections close after the next answer: because another box
+    /// can serve their next requests better, or because more clients wait for a
+    /// connection.
     pub fn closes_clients(&self) -> bool {
         !self.is_ready() || self.is_full()
     }
 
-    /// Whether no more clients are taken.
+    /// Whether no more client connections are accepted.
     pub fn is_full(&self) -> bool {
         self.stop.connections() >= self.clients_max.get()
     }
 
-    /// Most clients at once.
+    /// Highest number of simultaneous client connections.
     pub fn clients_max(&self) -> u32 {
         self.clients_max.get()
     }
 
-    /// Sets what the process may have open; bounds its clients.
+    /// Sets the file descriptor limit of the process and derives
+    /// [`Relay::max_clients`] from it.
     pub fn set_descriptors(&self, descriptors: u32) {
-        let left = descriptors.saturating_sub(DESCRIPTORS_KEPT);
-        let most = left / DESCRIPTORS_EACH;
-        let least = descriptors / DESCRIPTORS_PART;
+        let left = descriptors.saturating_sub(DESCRIPTORS_RESERVED);
+        let most = left / DESCRIPTORS_PER_CLIENT;
+        let least = descriptors / CLIENTS_MIN_DIVISOR;
         self.clients_max.set(most.max(least));
     }
 
-    /// Boxes that share the fleet's allowances.
+    /// Number of boxes that share the allowances of the fleet.
     pub fn boxes(&self) -> usize {
         self.boxes.get()
     }
 
-    /// Records how many boxes there are.
+    /// Sets the number of boxes.
     pub fn set_boxes(&self, boxes: usize) {
         self.boxes.set(boxes.max(1));
     }
 
-    /// Takes over what another box told of its requests and of those that it
-    /// knows of.
+    /// Merges a peer's report on its own requests and on those that it knows of.
     pub fn merge_traffic(&self, from: Peer, sum: Totals, rows: &[Placement], untold: u32) {
         let now = Instant::now();
         self.traffic.merge_report(from, sum, rows, untold, now);
@@ -201,14 +206,16 @@
             .set_peer_in_flight(&others.requests, others.boxes, now);
     }
 
-    /// Takes over what another box told of services that are moved to other releases.
+    /// Merges a peer's report on rollouts.
     pub fn merge_rollouts(&self, from: &Peer, report: &Report) {
         let now = Instant::now();
         let trials = report.trials.clone();
         self.rollouts.evidence.report(from.clone(), trials, now);
-        // How old that is, the reader of the store tells; this is to be quick.
+        // The reader of the store tracks the age of this list. Merging it here only
+        // makes changes take effect sooner.
         if let Some(list) = &report.rollouts {
-            // Of another era it is taken with what else that box tells, or not at all.
+            // A list of another era is taken only together with the peer's other
+            // entries of that era, elsewhere.
             if Some(list.era()) == self.standing.era() {
                 let hold = self.standing.hold(self.bounds().rewrite_within, now);
                 self.rollouts.merge(list, hold, now);
@@ -216,14 +223,14 @@
         }
     }
 
-    /// The orders to move services, if there are any.
+    /// The rollout orders to report to peers; `None` if there are none.
     pub fn rollouts_to_report(&self, now: Instant) -> Option<rollout::List> {
         let list = self.rollouts.list(now);
         (!list.is_empty()).then_some(list)
     }
 
-    /// Requests of all boxes, as far as this one hears, at servers of a service that
-    /// run another release.
+    /// Requests in flight, from all boxes whose reports reach this one, on servers of a
+    /// service that run another release than `target`.
     pub fn in_flight_on_other_releases(
         &self,
         service: &ids::Service,
@@ -239,15 +246,14 @@
         running.sum()
     }
 
-    /// Requests under way at this box and those that ask it.
+    /// Requests in flight from this box and the boxes that report to it.
     pub fn in_flight_in_subtree(&self, now: Instant) -> Totals {
         self.with_own(self.traffic.members(now))
     }
 
-    /// Requests under way at all boxes that this one knows of, without those
-    /// of `but`.
-    pub fn in_flight_excluding(&self, but: &Peer, now: Instant) -> Totals {
-        self.with_own(self.traffic.others(Some(but), now))
+    /// Requests in flight from all boxes known to this one, except `but`.
+    pub fn in_flight_excluding(&self, except: &Peer, now: Instant) -> Totals {
+        self.with_own(self.traffic.others(Some(except), now))
     }
 
     fn with_own(&self, mut sum: Totals) -> Totals {
--- a/crates/relay/src/router.rs
+++ b/crates/relay/src/router.rs
@@ -1,4 +1,4 @@
-//! Starting a router, stopping it, and taking over changed settings.
+//! Starts a router, shuts it down gracefully, and applies changed settings.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -32,35 +32,36 @@
 use crate::stop::Phase;
 use crate::traffic::Progress;
 
-/// Time from the request to stop until new connections are no longer taken:
-/// the balancer asks every second and acts on the second refusal. Under 3 s,
-/// from which on a request that is taken has to be finished.
-const NOTICE_TIME: Duration = Duration::from_millis(2_950);
-/// Time before the process is killed at which it ends by itself.
+/// Time from the stop signal until new connections are no longer accepted: the
+/// balancer checks readiness every second and acts on the second failed check. It is
+/// under 3 s because a request accepted after 3 s would still have to be finished.
+const BALANCER_NOTICE_TIME: Duration = Duration::from_millis(2_950);
+/// Time before the platform kills the process at which it exits by itself.
 const STOP_MARGIN: Duration = Duration::from_millis(400);
-/// Part of the bound on revoked keys that is kept as a margin for the way
-/// of a request and a late timer.
+/// Margin within the bound on revoked keys, for the transit time of a request and
+/// for late timers.
 const REVOKE_MARGIN: Duration = Duration::from_millis(300);
 
-/// Heartbeats of a server after which it has no entry any more: the platform's three,
-/// and one for the way here.
-const SILENCE_HEARTBEATS: u32 = 4;
+/// Heartbeat intervals after which an unresponsive server has no store entry any more: the
+/// three after which the platform removes the entry, and one for the removal to
+/// reach this box.
+const ENTRY_TTL_HEARTBEATS: u32 = 4;
 
-/// Runs a router until it is asked to stop.
+/// Runs a router until the stop signal, and then its graceful shutdown.
 ///
 /// # Errors
 ///
 /// An address cannot be bound.
-pub async fn run(settings: Settings, mut changes: Requests) -> eyre::Result<()> {
+pub async fn run(settings: Settings, mut signals: Requests) -> eyre::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     let router = Router::start(&settings, &executor)?;
-    // A task of its own: what is run here itself is polled whenever any task is
-    // woken, and asking for signals is a call to the system.
+    // Spawned as a task: the future passed to `Executor::run` is polled whenever any
+    // task wakes, and checking for signals is a system call.
     let until_stopped = executor.spawn(async move {
         loop {
-            match changes.next().await {
+            match signals.next().await {
                 Request::Stop => break,
-                Request::Reload => reload(&router, &changes),
+                Request::Reload => reload(&router, &signals),
             }
         }
         router.stop().await;
@@ -69,37 +70,36 @@
     Ok(())
 }
 
-/// A router that runs on an executor of its starter's. Its tasks live as long
+/// A router that runs on an executor given by the caller. Its tasks live as long
 /// as the executor.
 pub struct Router {
     relay: Rc<Relay>,
     client_address: SocketAddr,
     readiness_address: Option<SocketAddr>,
     metrics_address: Option<SocketAddr>,
-    /// Time from the request to stop until the process is killed.
+    /// Time from the stop signal until the platform kills the process.
     stop_within: Cell<Duration>,
-    /// Contents that the settings let pass.
+    /// Contents that the settings exempt from the block on crashing requests.
     pardoned: RefCell<BTreeSet<Fingerprint>>,
-    /// Servers whose rests the settings end.
+    /// Servers whose back-off the settings end.
     woken: RefCell<BTreeSet<ids::Server>>,
 }
 
 impl Router {
-    /// Binds the addresses of the settings and serves there while `executor`
-    /// is run.
+    /// Binds the addresses in the settings and serves them while `executor` runs.
     ///
     /// # Errors
     ///
-    /// An address cannot be bound, or the process has metrics already.
+    /// An address cannot be bound, or the process already has a metrics recorder.
     pub fn start(settings: &Settings, executor: &Rc<LocalExecutor<'static>>) -> eyre::Result<Self> {
         let relay = Rc::new(Relay::new(
             settings.hall.clone(),
             bounds(settings),
-            Budget::new(terms(settings)),
+            Budget::new(budget_limits(settings)),
         ));
         relay.set_descriptors(settings.limits.descriptors);
         relay.set_regions(settings.regions.clone());
-        let callers = Listener::bind(settings.callers).wrap_err("binding the callers' address")?;
+        let callers = Listener::bind(settings.callers).wrap_err("binding the client address")?;
         let mut router = Self {
             relay: relay.clone(),
             client_address: callers.address()?,
@@ -158,33 +158,33 @@
         Ok(router)
     }
 
-    /// Where clients connect; with the port that the system picked if the
-    /// settings give none.
+    /// The address that clients connect to. If the settings give port 0, it has the
+    /// port that the system assigned.
     pub fn client_address(&self) -> SocketAddr {
         self.client_address
     }
 
-    /// Where the platform asks whether it is ready.
+    /// The address of the readiness endpoint.
     pub fn readiness_address(&self) -> Option<SocketAddr> {
         self.readiness_address
     }
 
-    /// Where it serves its metrics.
+    /// The address of the metrics endpoint.
     pub fn metrics_address(&self) -> Option<SocketAddr> {
         self.metrics_address
     }
 
-    /// What its tasks share.
+    /// The state that its tasks share.
     pub fn relay(&self) -> &Relay {
         &self.relay
     }
 
-    /// Takes over what can change while running.
+    /// Applies the settings that can change at run time.
     pub fn apply_settings(&self, settings: &Settings) {
         self.relay.set_bounds(bounds(settings));
         self.relay.set_regions(settings.regions.clone());
         self.relay.set_descriptors(settings.limits.descriptors);
-        self.relay.budget.set_limits(terms(settings));
+        self.relay.budget.set_limits(budget_limits(settings));
         self.stop_within.set(settings.bounds.stop_within.duration());
         let before = self.pardoned.replace(settings.pardoned.clone());
         for content in settings.pardoned.difference(&before) {
@@ -198,14 +198,14 @@
         }
     }
 
-    /// Begins the planned stop; ends when it is over.
+    /// Shuts down gracefully; completes when that is finished.
     pub async fn stop(&self) {
         stop(&self.relay, self.stop_within.get()).await;
     }
 }
 
-/// Joins the other boxes; a box without an address for them reads the store
-/// itself.
+/// Starts the tasks that communicate with the other boxes. A box without peer
+/// ports has no peers and reads the store itself.
 fn start_peers(
     relay: &Rc<Relay>,
     follower: Rc<Follower>,
@@ -214,17 +214,17 @@
     executor: &Rc<LocalExecutor<'static>>,
 ) -> eyre::Result<()> {
     let Some(ports) = settings.peer_ports else {
-        let alone = rollout_controller::run(follower.clone(), store, None);
-        executor.spawn(alone).detach();
+        let controller = rollout_controller::run(follower.clone(), store, None);
+        executor.spawn(controller).detach();
         follower.set_reads_store("alone", true);
-        let asking = recovery::run(follower, None, Vec::new(), executor.clone());
-        executor.spawn(asking).detach();
+        let recovering = recovery::run(follower, None, Vec::new(), executor.clone());
+        executor.spawn(recovering).detach();
         let now = Instant::now();
         relay.roster.set_single(&settings.name, &settings.hall, now);
         return Ok(());
     };
     let address = SocketAddr::new(settings.callers.ip(), ports.first);
-    let listener = Listener::bind(address).wrap_err("binding the boxes' address")?;
+    let listener = Listener::bind(address).wrap_err("binding the peer address")?;
     let me = Member {
         name: settings.name.clone(),
         hall: settings.hall.clone(),
@@ -232,15 +232,16 @@
         link_mbps: settings.limits.link_mbps as u32,
     };
     if settings.first_start {
-        // All boxes start now, and list each other at once.
+        // All boxes start now and register at once, so that their lists of each
+        // other are complete from the beginning.
         relay.roster.set_listed(Instant::now());
         relay.standing.record_first_start();
-        // No engine keeps anything yet.
+        // No engine has anything in its KV cache yet, so there is no index to rebuild.
         relay.traffic.set_progress(Progress::Done);
     }
     let registry = Registry::new(me, store.clone());
-    let conducting = rollout_controller::run(follower.clone(), store, Some(registry.clone()));
-    executor.spawn(conducting).detach();
+    let controller = rollout_controller::run(follower.clone(), store, Some(registry.clone()));
+    executor.spawn(controller).detach();
     executor
         .spawn(registry.clone().maintain(relay.clone()))
         .detach();
@@ -254,17 +255,17 @@
         ))
         .detach();
     let seeds = seeds(settings, ports.first);
-    let asking = recovery::run(
+    let recovering = recovery::run(
         follower.clone(),
         Some(registry.clone()),
         seeds.clone(),
         executor.clone(),
     );
-    executor.spawn(asking).detach();
+    executor.spawn(recovering).detach();
     executor
         .spawn(seed::run(follower.clone(), registry.clone(), seeds))
         .detach();
-    let restored = {
+    let rereading = {
         let (follower, registry) = (follower.clone(), registry.clone());
         async move {
             loop {
@@ -273,7 +274,7 @@
             }
         }
     };
-    executor.spawn(restored).detach();
+    executor.spawn(rereading).detach();
     executor
         .spawn(traffic::run(
             relay.clone(),
@@ -292,8 +293,8 @@
     Ok(())
 }
 
-/// Where the boxes that the settings name are asked: each listens there on the
-/// port that this one listens on.
+/// The peer addresses of the seed boxes: every box listens on the same peer port
+/// as this one. Only the IPs of the configured addresses are used.
 fn seeds(settings: &Settings, port: u16) -> Vec<SocketAddr> {
     let ips = settings.seeds.iter().map(SocketAddr::ip);
     let others = ips.filter(|ip| *ip != settings.callers.ip());
@@ -311,7 +312,7 @@
             .then(|| revoke.saturating_sub(REVOKE_MARGIN)),
         grace_period: bounds.contact.duration(),
         rewrite_within: revoke,
-        entry_ttl: bounds.heartbeat.duration() * SILENCE_HEARTBEATS,
+        entry_ttl: bounds.heartbeat.duration() * ENTRY_TTL_HEARTBEATS,
         cold_overage: bounds.cold_overage,
         cold_tolerance: bounds.cold_tolerance,
         crowd_factor: bounds.crowd_factor,
@@ -320,7 +321,7 @@
     }
 }
 
-fn terms(settings: &Settings) -> budget::Limits {
+fn budget_limits(settings: &Settings) -> budget::Limits {
     let bounds = &settings.bounds;
     budget::Limits {
         ratio: bounds.retry_share,
@@ -339,7 +340,8 @@
     relay.stop.advance(Phase::Leaving);
     let limit = within.saturating_sub(STOP_MARGIN);
     let over = async {
-        // The platform's patience goes on while the machine is suspended.
+        // This clock also advances while the machine is suspended, as the
+        // platform's time limit does.
         tidepier_clock::sleep(limit).await;
         log::warn!(
             target: "process",
@@ -348,7 +350,7 @@
         );
     };
     let finished = async {
-        tidepier_clock::sleep(NOTICE_TIME).await;
+        tidepier_clock::sleep(BALANCER_NOTICE_TIME).await;
         relay.stop.advance(Phase::Closing);
         while relay.stop.requests() > 0 {
             relay.stop.changed.wait().await;
@@ -357,12 +359,12 @@
     finished.or(over).await;
 }
 
-/// Reads the settings again and takes over what can change while running.
-fn reload(router: &Router, changes: &Requests) {
-    match settings::read(changes.file()) {
+/// Reads the settings file again and applies what can change at run time.
+fn reload(router: &Router, signals: &Requests) {
+    match settings::read(signals.file()) {
         Ok(settings) => {
             router.apply_settings(&settings);
-            log::info!(target: "process", "event=reloaded file={}", changes.file().display());
+            log::info!(target: "process", "event=reloaded file={}", signals.file().display());
         }
         Err(error) => {
             log::error!(target: "process", "event=reload_failed why=\"{error}\"");
--- a/crates/relay/src/stop.rs
+++ b/crates/relay/src/stop.rs
@@ -1,27 +1,29 @@
-//! A planned stop: unready at once, new connections until the balancer knows,
-//! every request finished, then the end.
+//! The state of a graceful shutdown: the process reports itself not ready at once,
+//! accepts new connections until the balancer has noticed, and exits when every
+//! request is finished.
 
 use std::cell::Cell;
 
 use crate::notifier::Notifier;
 
-/// How far a stop has come.
+/// The phase of a graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Not stopping.
+    /// Not shutting down.
     Serving,
-    /// Asked to stop: not ready, but taking what still comes.
+    /// Reports itself not ready, but still accepts connections and requests.
     Leaving,
-    /// The balancer has had time to notice: no new connections or requests.
+    /// The balancer has had time to notice: accepts no new connections or requests.
     Closing,
 }
 
-/// The stop of this process.
+/// The state of the graceful shutdown of this process.
 pub struct Stop {
     phase: Cell<Phase>,
-    open: Cell<u32>,
+    connections: Cell<u32>,
     requests: Cell<u32>,
-    /// Notified when the phase changed or a request ended.
+    /// Notified when the phase changes and, during the shutdown, when a connection or
+    /// a request ends.
     pub changed: Notifier,
 }
 
@@ -29,20 +31,20 @@
     fn default() -> Self {
         Self {
             phase: Cell::new(Phase::Serving),
-            open: Cell::new(0),
+            connections: Cell::new(0),
             requests: Cell::new(0),
             changed: Notifier::default(),
         }
     }
 }
 
-/// Counts something as open until it is dropped.
-pub struct Open<'a> {
+/// Counts a connection or request as open until it is dropped.
+pub struct Guard<'a> {
     stop: &'a Stop,
     count: &'a Cell<u32>,
 }
 
-impl Drop for Open<'_> {
+impl Drop for Guard<'_> {
     fn drop(&mut self) {
         self.count.set(self.count.get().saturating_sub(1));
         if self.stop.phase.get() != Phase::Serving {
@@ -52,12 +54,12 @@
 }
 
 impl Stop {
-    /// The phase.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// Moves on; a stop never goes back.
+    /// Advances to a later phase; the phase never goes back.
     pub fn advance(&self, phase: Phase) {
         if phase <= self.phase.get() {
             return;
@@ -66,32 +68,32 @@
         self.changed.notify();
     }
 
-    /// Counts a client connection.
-    pub fn connection(&self) -> Open<'_> {
-        self.count(&self.open)
+    /// Counts a client connection while the guard lives.
+    pub fn connection(&self) -> Guard<'_> {
+        self.count(&self.connections)
     }
 
-    /// Counts a request.
-    pub fn request(&self) -> Open<'_> {
+    /// Counts a request while the guard lives.
+    pub fn request(&self) -> Guard<'_> {
         self.count(&self.requests)
     }
 
-    /// Open client connections.
+    /// Number of open client connections.
     pub fn connections(&self) -> u32 {
-        self.open.get()
+        self.connections.get()
     }
 
-    /// Requests under way.
+    /// Number of requests in flight.
     pub fn requests(&self) -> u32 {
         self.requests.get()
     }
 
-    fn count<'a>(&'a self, count: &'a Cell<u32>) -> Open<'a> {
+    fn count<'a>(&'a self, count: &'a Cell<u32>) -> Guard<'a> {
         count.set(count.get() + 1);
-        Open { stop: self, count }
+        Guard { stop: self, count }
     }
 
-    /// Waits until the phase is reached.
+    /// Waits until `phase` or a later one is reached.
     pub async fn wait_for_phase(&self, phase: Phase) {
         while self.phase.get() < phase {
             self.changed.wait().await;
--- a/crates/relay/src/timeout.rs
+++ b/crates/relay/src/timeout.rs
@@ -1,7 +1,7 @@
-//! Limits on the time that a future may take.
+//! Time limits on futures.
 //!
-//! Invariant: the work is polled before the timer, so that a
-//! result that is there in time is never lost.
+//! Invariant: the work is polled before the timer, so that a result that is ready
+//! in time is never lost.
 
 use std::future::Future;
 use std::time::Duration;
@@ -18,18 +18,18 @@
     async { Some(work.await) }.or(late).await
 }
 
-/// A limit that is moved on while work makes progress, as with each event of a
-/// stream. Setting a timer wakes the reactor, which costs as much as passing an
-/// event on; this one is set again only when it fires.
-pub(crate) struct Limit(Alarm);
+/// A deadline that moves on while work makes progress, for example with each event of
+/// a stream. Setting a timer wakes the reactor, which costs as much as forwarding an
+/// event; so the timer is set again only when it fires.
+pub(crate) struct Deadline(Alarm);
 
-impl Limit {
-    /// A limit that is next due at `deadline`.
+impl Deadline {
+    /// A limit whose timer first fires at `deadline`.
     pub(crate) fn new(deadline: Instant) -> Self {
         Self(Alarm::new(deadline))
     }
 
-    /// The result of `work`, or `None` when it is `deadline`.
+    /// The result of `work`, or `None` at `deadline`.
     pub(crate) async fn until<T>(
         &mut self,
         deadline: Instant,
@@ -37,14 +37,14 @@
     ) -> Option<T> {
         async { Some(work.await) }
             .or(async {
-                self.pass(deadline).await;
+                self.expire(deadline).await;
                 None
             })
             .await
     }
 
-    /// Ends at `deadline`.
-    async fn pass(&mut self, deadline: Instant) {
+    /// Completes at `deadline`.
+    async fn expire(&mut self, deadline: Instant) {
         if self.0.at() > deadline {
             self.0.set_at(deadline);
         }
@@ -58,7 +58,7 @@
     }
 }
 
-/// The result of `work`, or `None` when it is `deadline`.
+/// The result of `work`, or `None` at `deadline`.
 pub(crate) async fn until<T>(deadline: Instant, work: impl Future<Output = T>) -> Option<T> {
     let late = async {
         tidepier_clock::sleep_until(deadline).await;
