--- a/crates/relay/src/events.rs
+++ b/crates/relay/src/events.rs
@@ -1,31 +1,31 @@
-//! Where the events of a stream end.
+//! Splits a stream into complete events.
 //!
-//! Only whole events are passed on, so that a stream that breaks inside an
-//! event can go on with the next whole one.
+//! Only complete events are forwarded, so that a stream that breaks within an event
+//! can be resumed with the next complete one.
 
-/// Collects the bytes of a stream.
+/// Buffers the bytes of a stream until events are complete.
 #[derive(Default)]
-pub struct Events {
+pub struct Buffer {
     bytes: Vec<u8>,
-    /// Bytes already searched for an event's end.
+    /// Number of bytes that were already searched for the end of an event.
     searched: usize,
     last: Option<u64>,
 }
 
-impl Events {
-    /// The buffer that arriving bytes are appended to.
+impl Buffer {
+    /// The buffer to which received bytes are appended.
     pub fn buffer(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
 
-    /// The id of the last event taken.
+    /// The id of the last event that was taken and has one.
     pub fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Takes all whole events; empty when there is none.
-    pub fn take(&mut self) -> Vec<u8> {
-        let Some(end) = self.end_of_last() else {
+    /// Takes all complete events; empty if there is none.
+    pub fn take_complete(&mut self) -> Vec<u8> {
+        let Some(end) = self.end_of_last_event() else {
             self.searched = self.bytes.len();
             return Vec::new();
         };
@@ -36,15 +36,15 @@
         whole
     }
 
-    /// Takes what is left after the last whole event.
-    pub fn rest(&mut self) -> Vec<u8> {
+    /// Takes the bytes after the last complete event.
+    pub fn take_rest(&mut self) -> Vec<u8> {
         self.searched = 0;
         std::mem::take(&mut self.bytes)
     }
 
-    /// The index after the last empty line.
-    fn end_of_last(&self) -> Option<usize> {
-        // An empty line may span what was searched before and what came now.
+    /// The index after the last empty line, which ends an event.
+    fn end_of_last_event(&self) -> Option<usize> {
+        // An empty line may span bytes searched before and bytes received since.
         let from = self.searched.saturating_sub(3);
         let tail = &self.bytes[from..];
         let plain = find_last(tail, b"\n\n").map(|at| at + 2);
--- a/crates/relay/src/exchange/stream/events.rs
+++ b/crates/relay/src/exchange/stream/events.rs
@@ -15,7 +15,7 @@
 
 use super::discard;
 use crate::attempt::{Cause, Executed, Failure, Reply};
-use crate::events::Events;
+use crate::events::Buffer;
 use crate::exchange::disposition::Disposition;
 use crate::exchange::state::Exchange;
 use crate::fleet::Backend;
@@ -80,7 +80,7 @@
 ) -> Result<Disposition, Failure> {
     let client = Client::new(exchange, &reply);
     let mut out = exchange.head(&reply.head, client.length(), client.close);
-    let mut events = Events::default();
+    let mut events = Buffer::default();
     let mut limit = Deadline::new(exchange.deadline);
     let resumable = exchange.route.kind == Kind::Stream { resumable: true };
     loop {
@@ -114,7 +114,7 @@
             return Ok(client.incomplete_action());
         };
         metrics::counter!("tidepier_streams_resumed_total").increment(1);
-        events.rest();
+        events.take_rest();
         (backend, reply) = next;
     }
 }
@@ -214,7 +214,7 @@
     client: &Client,
     backend: &Rc<Backend>,
     reply: &mut Reply,
-    events: &mut Events,
+    events: &mut Buffer,
     limit: &mut Deadline,
     out: &mut Vec<u8>,
 ) -> Result<Copied, Failure> {
@@ -222,7 +222,11 @@
         let more = read_some(exchange, client, reply, events, limit).await?;
         backend.record_received();
         reply.running.answer_started();
-        let complete = if more { events.take() } else { events.rest() };
+        let complete = if more {
+            events.take_complete()
+        } else {
+            events.take_rest()
+        };
         if !complete.is_empty() {
             push_events(out, &complete, client.chunked);
         }
@@ -260,7 +264,7 @@
     exchange: &Exchange<'_>,
     client: &Client,
     reply: &mut Reply,
-    events: &mut Events,
+    events: &mut Buffer,
     limit: &mut Deadline,
 ) -> Result<bool, Failure> {
     let stalls = exchange.route.kind == Kind::Stream { resumable: true };
--- a/crates/relay/src/log.rs
+++ b/crates/relay/src/log.rs
@@ -1,18 +1,18 @@
-//! Structured log lines that never hold the process up.
+//! Structured log lines that never block the process.
 //!
-//! A line is `TIME [LEVEL] TARGET: event=NAME key=value ...`. Whoever logs
-//! only copies the line into a bounded queue; a thread writes the queue out.
-//! A reader of the log that stalls therefore costs lines and never time.
+//! A line is `TIME [LEVEL] TARGET: event=NAME key=value ...`. A logging call only
+//! copies the line into a bounded queue; a thread writes the queue to the output.
+//! If the reader of the output stalls, lines are dropped, but no caller waits.
 //!
 //! Invariants:
 //!
-//! * Logging waits for no reader. The lock of the queue is held for the
-//!   copying of a line and the swap of two buffers, never while writing.
-//! * Every line that is not written is counted, and the count is logged once
-//!   there is room.
-//! * What waits is bounded in lines and bytes, and so is the length of a line.
-//! * Lines are written whole, so that a reader of several processes gets none
-//!   that ends within another's.
+//! * Logging never waits for the reader. The lock of the queue is held only to copy a
+//!   line or to swap two buffers, never while writing.
+//! * Every line that is not written is counted, and the count is logged once there
+//!   is room.
+//! * The queue is bounded in lines and bytes, and so is the length of a line.
+//! * Each write contains only complete lines, so that the lines of several processes
+//!   that share an output do not interleave.
 
 mod limit;
 mod line;
@@ -27,82 +27,82 @@
 use tidepier_clock::Instant;
 
 pub use self::limit::Limit;
-pub use self::line::Lines;
+pub use self::line::Writer;
 pub use self::queue::Queue;
 
-/// Target of the lines on what became of one request.
+/// Target of the lines about single requests.
 const REQUEST_TARGET: &str = "request";
-/// Request lines per second and event. A box at its usual share of a core
-/// decides on fewer requests per second when it is not pressed.
+/// Most lines per second with the target `request`. A box at its usual share of a core
+/// handles fewer requests per second unless it is overloaded.
 pub const LINES_PER_SECOND: u32 = 200;
 
-/// A logger into `queue`.
-pub fn logger(level: LevelFilter, queue: &Queue) -> Box<WriteLogger<Lines>> {
-    WriteLogger::new(level, format(), Lines::new(queue.clone()))
+/// A logger that writes into `queue`.
+pub fn logger(level: LevelFilter, queue: &Queue) -> Box<WriteLogger<Writer>> {
+    WriteLogger::new(level, format(), Writer::new(queue.clone()))
 }
 
-/// Why logging could not be set up.
+/// Why logging could not be initialized.
 #[derive(Debug)]
 pub enum Error {
-    /// The writing thread cannot be started.
+    /// The writer thread cannot be started.
     Thread(io::Error),
-    /// The process has a logger already.
-    Twice(SetLoggerError),
+    /// The process already has a logger.
+    AlreadySet(SetLoggerError),
 }
 
 impl std::fmt::Display for Error {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Error::Thread(error) => write!(f, "the log's thread cannot be started: {error}"),
-            Error::Twice(error) => write!(f, "the log cannot be set up: {error}"),
+            Error::Thread(error) => write!(f, "cannot start the writer thread of the log: {error}"),
+            Error::AlreadySet(error) => write!(f, "cannot initialize the log: {error}"),
         }
     }
 }
 
 impl std::error::Error for Error {}
 
-/// Makes standard output the log of the process. The queue that is returned
-/// wants a [`Queue::flush`] at the end.
+/// Makes standard output the log of the process. Call [`Queue::flush`] on the returned
+/// queue before the process exits.
 ///
 /// # Errors
 ///
-/// The writing thread cannot be started, or there is a logger already.
+/// The writer thread cannot be started, or the process already has a logger.
 pub fn init(level: LevelFilter) -> Result<Queue, Error> {
     let queue = Queue::start(io::stdout()).map_err(Error::Thread)?;
-    let limited = Limited {
+    let limited = RateLimited {
         logger: logger(level, &queue),
         limit: Mutex::new(Limit::new("request", LINES_PER_SECOND)),
     };
-    ::log::set_boxed_logger(Box::new(limited)).map_err(Error::Twice)?;
+    ::log::set_boxed_logger(Box::new(limited)).map_err(Error::AlreadySet)?;
     ::log::set_max_level(level);
     Ok(queue)
 }
 
-/// Holds lines about requests back past a rate; all others go through.
-struct Limited {
-    logger: Box<WriteLogger<Lines>>,
+/// Applies a rate limit to lines about requests; all other lines pass.
+struct RateLimited {
+    logger: Box<WriteLogger<Writer>>,
     limit: Mutex<Limit>,
 }
 
-impl Limited {
-    fn passes(&self, record: &Record<'_>) -> bool {
+impl RateLimited {
+    fn allows(&self, record: &Record<'_>) -> bool {
         if record.target() != REQUEST_TARGET {
             return true;
         }
-        // A limit is whole between any two of its statements.
+        // A panic while the lock was held leaves the limit consistent.
         let limit = self.limit.lock();
         let limit = limit.unwrap_or_else(|poison| poison.into_inner());
-        limit.passes(Instant::now())
+        limit.allows(Instant::now())
     }
 }
 
-impl Log for Limited {
+impl Log for RateLimited {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
         self.logger.enabled(metadata)
     }
 
     fn log(&self, record: &Record<'_>) {
-        if self.enabled(record.metadata()) && self.passes(record) {
+        if self.enabled(record.metadata()) && self.allows(record) {
             self.logger.log(record);
         }
     }
--- a/crates/relay/src/log/queue.rs
+++ b/crates/relay/src/log/queue.rs
@@ -1,43 +1,43 @@
-//! The bounded queue between those who log and the thread that writes.
+//! The bounded queue between logging calls and the writer thread.
 //!
 //! Invariants:
 //!
-//! * The lock is held for the copying of a line and the swap of two buffers,
-//!   never while writing.
-//! * Lines that find no room, or whose writing fails, are counted.
+//! * The lock is held only to copy a line or to swap two buffers, never while
+//!   writing.
+//! * Lines that do not fit, or whose writing fails, are counted.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::thread;
 use std::time::Duration;
 
-/// Most lines that wait to be written: ten seconds of request lines at
+/// Most lines in the queue: ten seconds of request lines at
 /// [`LINES_PER_SECOND`](super::LINES_PER_SECOND).
-const LINES_WAITING: usize = 2_048;
-/// Most bytes of lines that wait to be written; what a stalled reader may cost
-/// in memory.
-const BYTES_WAITING: usize = 256 << 10;
-/// Most bytes of one write: up to this size a pipe takes all or nothing
-/// (`PIPE_BUF` of Linux), so that lines of processes that share one stay whole.
-const WRITE_BYTES: usize = 4 << 10;
-/// Room that a buffer keeps after use, in bytes: the lines of a usual batch.
-const BUFFER_KEPT: usize = 16 << 10;
-/// Time after a first line in which others are gathered into one write. Saves
-/// wake-ups and system calls; short enough for someone who follows the log.
-const GATHER: Duration = Duration::from_millis(50);
-/// Longest wait for the last lines at the end of the process.
-const FLUSH: Duration = Duration::from_millis(200);
-/// Stack of the writing thread, in bytes. It only calls `write`.
+const QUEUE_LINES_MAX: usize = 2_048;
+/// Most bytes in the queue: bounds the memory used while the reader stalls.
+const QUEUE_BYTES_MAX: usize = 256 << 10;
+/// Most bytes of one write. Writes to a pipe are atomic up to this size (`PIPE_BUF` on
+/// Linux), so that the lines of processes that share a pipe stay intact.
+const WRITE_BYTES_MAX: usize = 4 << 10;
+/// Capacity that a buffer keeps after use, in bytes: the size of a usual batch.
+const BUFFER_CAPACITY_MAX: usize = 16 << 10;
+/// Time after the first line of a batch in which further lines join it. Batching saves
+/// wake-ups and system calls; the delay is short enough for a person who follows the
+/// log.
+const GATHER_TIME: Duration = Duration::from_millis(50);
+/// Longest wait for the last lines before the process exits.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+/// Stack size of the writer thread, in bytes. It only calls `write`.
 const STACK_BYTES: usize = 64 << 10;
-/// Lines on their way to the reader.
+/// A bounded queue of log lines and its writer thread.
 #[derive(Clone)]
 pub struct Queue(Arc<Shared>);
 
 struct Shared {
     state: Mutex<State>,
-    /// A line came into the empty queue, or someone wants it written now.
+    /// Notified when a line enters the empty queue or a flush is requested.
     arrived: Condvar,
-    /// Everything was written.
+    /// Notified after each batch is written.
     written: Condvar,
 }
 
@@ -45,18 +45,18 @@
 struct State {
     bytes: Vec<u8>,
     lines: usize,
-    /// Lines that were not taken or could not be written.
+    /// Lines that did not fit or could not be written.
     dropped: u64,
-    /// Those of them that the log has reported.
+    /// The part of `dropped` that has been reported in the log.
     reported: u64,
-    /// Bytes that were taken from the queue are being written.
+    /// Whether a batch taken from the queue is being written.
     writing: bool,
-    /// Someone waits for the end of the writing.
-    hurry: bool,
+    /// Whether a flush waits until everything is written.
+    flushing: bool,
 }
 
 impl Queue {
-    /// A queue that a thread of its own writes to `out`.
+    /// Creates a queue and starts a thread that writes it to `out`.
     ///
     /// # Errors
     ///
@@ -75,29 +75,31 @@
         Ok(queue)
     }
 
-    /// Lines that were not written.
+    /// Number of lines that were dropped.
     pub fn dropped(&self) -> u64 {
         self.state().dropped
     }
 
-    /// Waits until everything is written, but not for long; whether it is.
+    /// Waits a short time until everything is written; returns whether it is.
     pub fn flush(&self) -> bool {
         let mut state = self.state();
-        state.hurry = true;
+        state.flushing = true;
         self.0.arrived.notify_one();
         let waited = self
             .0
             .written
-            .wait_timeout_while(state, FLUSH, |state| state.lines > 0 || state.writing);
+            .wait_timeout_while(state, FLUSH_TIMEOUT, |state| {
+                state.lines > 0 || state.writing
+            });
         let (mut state, timeout) = waited.unwrap_or_else(|poison| poison.into_inner());
-        state.hurry = false;
+        state.flushing = false;
         !timeout.timed_out()
     }
 
-    /// Adds a line, its end included.
+    /// Adds a line, which includes its newline.
     pub(super) fn push(&self, line: &[u8]) {
         let mut state = self.state();
-        if state.lines >= LINES_WAITING || state.bytes.len() + line.len() > BYTES_WAITING {
+        if state.lines >= QUEUE_LINES_MAX || state.bytes.len() + line.len() > QUEUE_BYTES_MAX {
             state.dropped += 1;
             drop(state);
             metrics::counter!("tidepier_log_lines_dropped_total").increment(1);
@@ -114,11 +116,12 @@
         let mut batch = Vec::new();
         loop {
             let lines = self.take(&mut batch);
-            let outcome = write_whole(&mut out, &batch);
+            let outcome = write_lines(&mut out, &batch);
             let mut state = self.state();
             state.writing = false;
             if outcome.is_err() {
-                // The log itself is broken: there is no place to say so.
+                // Writing the log failed, so the failure cannot be logged; the
+                // lines are counted.
                 state.dropped += lines as u64;
                 metrics::counter!("tidepier_log_lines_dropped_total").increment(lines as u64);
             }
@@ -126,16 +129,19 @@
         }
     }
 
-    /// Waits for lines and takes all that come for a while; returns how many.
+    /// Waits for a line, gathers further ones for a short time, and takes all of them;
+    /// returns how many.
     fn take(&self, batch: &mut Vec<u8>) -> usize {
         batch.clear();
-        batch.shrink_to(BUFFER_KEPT);
+        batch.shrink_to(BUFFER_CAPACITY_MAX);
         let shared = &self.0;
         let empty = |state: &mut State| state.lines == 0;
         let first = shared.arrived.wait_while(self.state(), empty);
         let first = first.unwrap_or_else(|poison| poison.into_inner());
-        let calm = |state: &mut State| !state.hurry;
-        let rest = shared.arrived.wait_timeout_while(first, GATHER, calm);
+        let not_flushing = |state: &mut State| !state.flushing;
+        let rest = shared
+            .arrived
+            .wait_timeout_while(first, GATHER_TIME, not_flushing);
         let (mut state, _) = rest.unwrap_or_else(|poison| poison.into_inner());
         std::mem::swap(&mut state.bytes, batch);
         state.writing = true;
@@ -144,16 +150,16 @@
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        // The state is whole between any two statements that change it.
+        // A panic while the lock was held leaves the state consistent.
         let state = self.0.state.lock();
         state.unwrap_or_else(|poison| poison.into_inner())
     }
 }
 
-/// Writes whole lines at a time, as many as fit into one write.
-fn write_whole(out: &mut impl Write, mut lines: &[u8]) -> io::Result<()> {
+/// Writes the lines in chunks, each with as many complete lines as fit into one write.
+fn write_lines(out: &mut impl Write, mut lines: &[u8]) -> io::Result<()> {
     while !lines.is_empty() {
-        let most = lines.len().min(WRITE_BYTES);
+        let most = lines.len().min(WRITE_BYTES_MAX);
         let end = lines[..most].iter().rposition(|byte| *byte == b'\n');
         let (now, rest) = lines.split_at(end.map_or(most, |end| end + 1));
         out.write_all(now)?;
@@ -163,7 +169,8 @@
     Ok(())
 }
 
-/// Appends a line on those that were dropped, under the time of the last line.
+/// Appends a line with the number of newly dropped lines, with the timestamp of the
+/// last line of the batch.
 fn report_dropped(state: &mut State, batch: &mut Vec<u8>) {
     if state.dropped == state.reported {
         return;
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -1,9 +1,8 @@
-//! The figures of the process, served in the text format of Prometheus.
+//! The metrics of the process, served in the text format of Prometheus.
 //!
-//! The usual exporter keeps each sample of a histogram until it is asked for
-//! its figures. Nobody may ask for hours here, and memory is dear, so that the
-//! recorder is our own: a histogram is a row of counters, and the number of
-//! series is bounded.
+//! The usual exporter keeps every sample of a histogram until the next scrape. A
+//! process here may not be scraped for hours, and memory is scarce, so this recorder
+//! keeps a histogram as a row of counters and bounds the number of series.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
@@ -19,19 +18,19 @@
 
 use crate::ready::{self, Page};
 
-/// Where the metrics are asked for; as the deploy file names it.
+/// Path of the metrics endpoint; the deployment configuration refers to it.
 pub const PATH: &str = "/metrics";
 
-/// Upper ends of the buckets of a histogram, in seconds. They span from a
-/// decision within the box to the longest request that an operator allows.
-const BUCKETS: [f64; 14] = [
+/// Upper bounds of the histogram buckets, in seconds. They range from a decision
+/// within the box to the longest request that an operator allows.
+const BUCKET_BOUNDS: [f64; 14] = [
     0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0,
 ];
-/// Most series, each of some 300 bytes. Labels with names from outside could
-/// otherwise fill the memory.
-const SERIES: usize = 512;
+/// Most series, of about 300 bytes each. Without a limit, labels with values from
+/// outside could exhaust the memory.
+const SERIES_MAX: usize = 512;
 
-/// All series of the process.
+/// The registry of all series of the process.
 #[derive(Clone, Default)]
 pub struct Registry(Arc<Mutex<Series>>);
 
@@ -41,39 +40,39 @@
     gauges: HashMap<Key, Arc<AtomicU64>>,
     histograms: HashMap<Key, Arc<Buckets>>,
     help: BTreeMap<KeyName, SharedString>,
-    /// Uses of series that there was no room for.
+    /// Number of rejected registrations, because the limit on series was reached.
     refused: u64,
 }
 
 /// A histogram.
 #[derive(Default)]
 struct Buckets {
-    /// Samples per bucket, those above the last end after it.
-    counts: [AtomicU64; BUCKETS.len() + 1],
+    /// Samples per bucket; the last one counts samples above every bound.
+    counts: [AtomicU64; BUCKET_BOUNDS.len() + 1],
     /// The sum of all samples, as the bits of an `f64`.
     sum: AtomicU64,
 }
 
 impl HistogramFn for Buckets {
     fn record(&self, value: f64) {
-        let bucket = BUCKETS.partition_point(|end| *end < value);
+        let bucket = BUCKET_BOUNDS.partition_point(|end| *end < value);
         self.counts[bucket].fetch_add(1, Ordering::Relaxed);
         GaugeFn::increment(&self.sum, value);
     }
 }
 
-/// Makes a registry the recorder of the process.
+/// Creates a registry and installs it as the recorder of the process.
 ///
 /// # Errors
 ///
-/// There is a recorder already.
+/// The process already has a recorder.
 pub fn install() -> Result<Registry, ::metrics::SetRecorderError<Registry>> {
     let registry = Registry::default();
     ::metrics::set_global_recorder(registry.clone())?;
     Ok(registry)
 }
 
-/// Answers to whoever asks at `listener` for the figures of `registry`.
+/// Serves the metrics of `registry` at `listener`.
 pub async fn serve(listener: Listener, registry: Registry) {
     let page = |path: &str| match path {
         PATH => Page::new("200 OK", registry.render()),
@@ -83,38 +82,38 @@
 }
 
 impl Registry {
-    /// All figures in the text format of Prometheus.
+    /// Renders all series in the text format of Prometheus.
     pub fn render(&self) -> String {
         let series = self.series();
         let mut text = String::new();
         for (name, rows) in by_name(&series.counters) {
-            series.begin(&mut text, name, "counter");
+            series.write_header(&mut text, name, "counter");
             for (key, value) in rows {
                 let value = value.load(Ordering::Relaxed);
-                line(&mut text, name, "", key.labels(), None, value);
+                write_sample(&mut text, name, "", key.labels(), None, value);
             }
         }
         for (name, rows) in by_name(&series.gauges) {
-            series.begin(&mut text, name, "gauge");
+            series.write_header(&mut text, name, "gauge");
             for (key, value) in rows {
                 let value = f64::from_bits(value.load(Ordering::Relaxed));
-                line(&mut text, name, "", key.labels(), None, value);
+                write_sample(&mut text, name, "", key.labels(), None, value);
             }
         }
         for (name, rows) in by_name(&series.histograms) {
-            series.begin(&mut text, name, "histogram");
+            series.write_header(&mut text, name, "histogram");
             for (key, buckets) in rows {
                 buckets.render(&mut text, key);
             }
         }
         let refused = "tidepier_metrics_refused_total";
-        series.begin(&mut text, refused, "counter");
-        line(&mut text, refused, "", [].iter(), None, series.refused);
+        series.write_header(&mut text, refused, "counter");
+        write_sample(&mut text, refused, "", [].iter(), None, series.refused);
         text
     }
 
     fn series(&self) -> MutexGuard<'_, Series> {
-        // The maps are whole between any two statements that change them.
+        // A panic while the lock was held leaves the maps consistent.
         let series = self.0.lock();
         series.unwrap_or_else(|poison| poison.into_inner())
     }
@@ -123,18 +122,18 @@
 impl Series {
     fn has_room(&mut self) -> bool {
         let used = self.counters.len() + self.gauges.len() + self.histograms.len();
-        let room = used < SERIES;
+        let room = used < SERIES_MAX;
         if !room {
             self.refused += 1;
         }
         room
     }
 
-    fn begin(&self, text: &mut String, name: &str, kind: &str) {
+    fn write_header(&self, text: &mut String, name: &str, kind: &str) {
         if let Some(help) = self.help.get(name) {
-            put(text, format_args!("# HELP {name} {help}\n"));
+            write_fmt(text, format_args!("# HELP {name} {help}\n"));
         }
-        put(text, format_args!("# TYPE {name} {kind}\n"));
+        write_fmt(text, format_args!("# TYPE {name} {kind}\n"));
     }
 }
 
@@ -142,18 +141,18 @@
     fn render(&self, text: &mut String, key: &Key) {
         let name = key.name();
         let mut count = 0;
-        let ends = BUCKETS.iter().copied().chain([f64::INFINITY]);
+        let ends = BUCKET_BOUNDS.iter().copied().chain([f64::INFINITY]);
         for (end, samples) in ends.zip(&self.counts) {
             count += samples.load(Ordering::Relaxed);
-            line(text, name, "_bucket", key.labels(), Some(end), count);
+            write_sample(text, name, "_bucket", key.labels(), Some(end), count);
         }
         let sum = f64::from_bits(self.sum.load(Ordering::Relaxed));
-        line(text, name, "_sum", key.labels(), None, sum);
-        line(text, name, "_count", key.labels(), None, count);
+        write_sample(text, name, "_sum", key.labels(), None, sum);
+        write_sample(text, name, "_count", key.labels(), None, count);
     }
 }
 
-/// The series of each name, in the order of their names and labels.
+/// Groups the series by name, sorted by names and labels.
 fn by_name<T>(series: &HashMap<Key, T>) -> BTreeMap<&str, Vec<(&Key, &T)>> {
     let mut names = BTreeMap::<_, Vec<_>>::new();
     for (key, value) in series {
@@ -165,7 +164,7 @@
     names
 }
 
-fn line<'a>(
+fn write_sample<'a>(
     text: &mut String,
     name: &str,
     suffix: &str,
@@ -173,21 +172,21 @@
     end: Option<f64>,
     value: impl std::fmt::Display,
 ) {
-    put(text, format_args!("{name}{suffix}"));
-    let mut mark = '{';
+    write_fmt(text, format_args!("{name}{suffix}"));
+    let mut separator = '{';
     for label in labels {
-        put(text, format_args!("{mark}{}=\"", label.key()));
+        write_fmt(text, format_args!("{separator}{}=\"", label.key()));
         escape(text, label.value());
         text.push('"');
-        mark = ',';
+        separator = ',';
     }
     match end {
-        Some(f64::INFINITY) => put(text, format_args!("{mark}le=\"+Inf\"}}")),
-        Some(end) => put(text, format_args!("{mark}le=\"{end}\"}}")),
-        None if mark == ',' => text.push('}'),
+        Some(f64::INFINITY) => write_fmt(text, format_args!("{separator}le=\"+Inf\"}}")),
+        Some(end) => write_fmt(text, format_args!("{separator}le=\"{end}\"}}")),
+        None if separator == ',' => text.push('}'),
         None => {}
     }
-    put(text, format_args!(" {value}\n"));
+    write_fmt(text, format_args!(" {value}\n"));
 }
 
 fn escape(text: &mut String, value: &str) {
@@ -201,8 +200,8 @@
     }
 }
 
-fn put(text: &mut String, part: std::fmt::Arguments<'_>) {
-    // Writing to a string does not fail.
+fn write_fmt(text: &mut String, part: std::fmt::Arguments<'_>) {
+    // Writing to a `String` does not fail.
     let _ = text.write_fmt(part);
 }
 
--- a/crates/relay/src/notifier.rs
+++ b/crates/relay/src/notifier.rs
@@ -1,4 +1,4 @@
-//! Notifying waiting tasks of one thread that something changed.
+//! Wakes the tasks of one thread that wait for a change.
 
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -11,12 +11,12 @@
     waiting: Vec<Waker>,
 }
 
-/// Something that tasks wait for; every task that waits is woken.
+/// Lets tasks wait for a change; a notification wakes all of them.
 #[derive(Default, Clone)]
 pub struct Notifier(Rc<RefCell<State>>);
 
 impl Notifier {
-    /// Wakes every task that waits now.
+    /// Wakes every task that currently waits.
     pub fn notify(&self) {
         let mut state = self.0.borrow_mut();
         state.count += 1;
--- a/crates/relay/src/settings/bounds.rs
+++ b/crates/relay/src/settings/bounds.rs
@@ -1,23 +1,23 @@
-//! The times and shares that the platform promises, and their defaults.
+//! The time limits and ratios that the platform guarantees, and their defaults.
 
 use serde::Deserialize;
 
 use super::span::Millis;
 
-/// Default of [`Bounds::stop_within`]. The platform's usual figure, as are those
-/// that follow unless they say otherwise.
+/// Default of [`Bounds::stop_within`]. This and the following defaults are the
+/// platform's usual values unless noted otherwise.
 const STOP_WITHIN: Millis = Millis::new(8_000);
 /// Default of [`Bounds::apply_within`].
 const APPLY_WITHIN: Millis = Millis::new(2_000);
 /// Default of [`Bounds::revoke_within`].
 const REVOKE_WITHIN: Millis = Millis::new(5_000);
-/// Default of [`Bounds::revoke_when_blind`]: the safe side.
+/// Default of [`Bounds::revoke_when_blind`]: the safe choice.
 const REVOKE_WHEN_BLIND: bool = true;
 /// Default of [`Bounds::empty_within`].
 const EMPTY_WITHIN: Millis = Millis::new(5_000);
-/// Default of [`Bounds::cold_overage`]: what a cold server is said to bear.
+/// Default of [`Bounds::cold_overage`]: exactly the declared rate of a cold server.
 const COLD_OVERAGE: f64 = 1.0;
-/// Default of [`Bounds::cold_tolerance`], in requests a second: the safe side.
+/// Default of [`Bounds::cold_tolerance`], in requests a second: the safe choice.
 const COLD_TOLERANCE: f64 = 0.0;
 /// Default of [`Bounds::contact`].
 const CONTACT: Millis = Millis::new(3_000);
@@ -25,55 +25,56 @@
 const HEARTBEAT: Millis = Millis::new(1_200);
 /// Default of [`Bounds::crowd_factor`], in multiples of the mean.
 const CROWD_FACTOR: f64 = 2.0;
-/// Default of [`Bounds::exposure_share`]. Half of the platform's usual figure.
+/// Default of [`Bounds::exposure_share`]. Half of the platform's usual value.
 const EXPOSURE_SHARE: f64 = 0.05;
 /// Default of [`Bounds::rollback_within`].
 const ROLLBACK_WITHIN: Millis = Millis::new(5_000);
-/// Default of [`Bounds::retry_share`]. Half of the platform's usual figure:
-/// without one, the safe side is to send less.
+/// Default of [`Bounds::retry_share`]. Half of the platform's usual value: if the
+/// platform gives none, fewer retries are the safe choice.
 const RETRY_SHARE: f64 = 0.1;
 /// Default of [`Bounds::retry_window`].
 const RETRY_WINDOW: Millis = Millis::new(10_000);
-/// Default of [`Bounds::retry_extra`], in requests: the safe side.
+/// Default of [`Bounds::retry_extra`], in requests: the safe choice.
 const RETRY_EXTRA: f64 = 0.0;
 
-/// Promised times and shares.
+/// The time limits and ratios that the platform guarantees.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Bounds {
-    /// Time from the request to stop until the process is killed.
+    /// Time from the stop signal until the platform kills the process.
     pub stop_within: Millis,
-    /// A configuration is in force everywhere after this.
+    /// Time after which a written configuration is in force on every box.
     pub apply_within: Millis,
-    /// A revoked key opens nothing after this.
+    /// Time after which a revoked key is no longer accepted.
     pub revoke_within: Millis,
-    /// Whether [`Bounds::revoke_within`] also holds for a box that does not
-    /// reach the store.
+    /// Whether [`Bounds::revoke_within`] also holds for a box that cannot reach the
+    /// store.
     pub revoke_when_blind: bool,
-    /// The servers of a hall get nothing more so long after the operator asked
-    /// to empty it.
+    /// Time after the operator's order to empty a hall from which its servers get no
+    /// more requests.
     pub empty_within: Millis,
-    /// Requests a second that a cold server may get, in multiples of what its
-    /// service says it bears, ...
+    /// Rate of requests that a cold server may get, in multiples of the rate that its
+    /// service declares for cold servers, ...
     pub cold_overage: f64,
-    /// ... and beyond that.
+    /// ... and the requests a second allowed in addition.
     pub cold_tolerance: f64,
-    /// Time after the end of the store's trouble from which its word counts.
+    /// Time after the end of a store outage from which the store is authoritative
+    /// again.
     pub contact: Millis,
-    /// Time between two words of a server to the store.
+    /// Interval between two heartbeats of a server to the store.
     pub heartbeat: Millis,
-    /// Most load of one server, in multiples of the mean of its service.
+    /// Highest load of one server, in multiples of the mean of its service.
     pub crowd_factor: f64,
-    /// Part of a service's requests that a release may get while it is not known
-    /// whether it is any good.
+    /// Fraction of a service's requests that a new release may get until it has proven
+    /// to be good.
     pub exposure_share: f64,
-    /// A release that is known to be bad gets nothing after this.
+    /// Time from the detection of a faulty release until it gets no more requests.
     pub rollback_within: Millis,
-    /// Repeats that a service may get per request of a window.
+    /// Retries that a service may get per request of a window.
     pub retry_share: f64,
-    /// The window over which repeats are counted.
+    /// The window over which retries are counted.
     pub retry_window: Millis,
-    /// Repeats that a service may get per window beyond its share.
+    /// Retries that a service may get per window in addition to its share.
     pub retry_extra: f64,
 }
 
--- a/crates/relay/src/settings/check.rs
+++ b/crates/relay/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Whether the values of settings are within range.
+//! Checks that the values of settings are within range.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,11 +8,11 @@
 /// A value out of range.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutOfRange {
-    /// The field, with the sections that hold it.
+    /// The path of the field, such as `bounds.contact`.
     pub field: &'static str,
-    /// The value.
+    /// The value found.
     pub found: String,
-    /// What is allowed.
+    /// The allowed range.
     pub allowed: &'static str,
 }
 
@@ -26,7 +26,7 @@
 impl std::error::Error for OutOfRange {}
 
 impl Settings {
-    /// Checks what the types do not.
+    /// Checks the ranges that the types do not enforce.
     ///
     /// # Errors
     ///
@@ -63,7 +63,7 @@
         Err(OutOfRange {
             field: "peer_ports",
             found: format!("{} to {}", self.first, self.last),
-            allowed: "a first port from 1 and a last port not before it",
+            allowed: "a first port of at least 1 and a last port that is not lower",
         })
     }
 }
--- a/crates/relay/src/settings/mod.rs
+++ b/crates/relay/src/settings/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! A settings file is JSON. The platform writes it from
 //! `deploy/relay.json.template` before each start and whenever a value
-//! changes. What the platform leaves out has a default here; fields that are
-//! unknown are ignored, so that a newer platform may add some.
+//! changes. Fields that the platform omits have a default here; unknown fields
+//! are ignored, so that a newer platform can add some.
 //!
 //! Invariant: settings that [`read()`] returns are within range.
 
@@ -26,12 +26,12 @@
 pub use read::{read, Error};
 pub use span::{InvalidSpan, Millis};
 
-/// File descriptors when no limit is given: the usual soft limit of Linux.
-const DESCRIPTORS: u32 = 1_024;
-/// Bandwidth of the box's link, in megabits per second, when none is given.
-const LINK_MBPS: f64 = 1_000.0;
+/// Default file descriptor limit: the usual soft limit of Linux.
+const DESCRIPTORS_DEFAULT: u32 = 1_024;
+/// Default bandwidth of the box's link, in megabits per second.
+const LINK_MBPS_DEFAULT: f64 = 1_000.0;
 
-/// A range of ports, both ends included.
+/// An inclusive range of ports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(from = "[u16; 2]")]
 pub struct Ports {
@@ -52,46 +52,48 @@
 pub struct Settings {
     /// The box that the process runs on.
     pub name: ids::Box,
-    /// Its data hall.
+    /// The data hall of that box.
     pub hall: ids::Hall,
-    /// The region of each data hall; needed where requests may not leave some
-    /// regions. A hall that is missing here is in none.
+    /// The region of each data hall. Needed if routes or accounts restrict requests to
+    /// some regions. A hall that is not listed is in no region.
     #[serde(default)]
     pub regions: BTreeMap<ids::Hall, ids::Region>,
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub callers: SocketAddr,
-    /// Where the platform asks whether the process is ready.
+    /// Address of the readiness endpoint, which the platform polls.
     #[serde(default)]
     pub readiness: Option<SocketAddr>,
-    /// Where the process serves its metrics.
+    /// Address of the metrics endpoint.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
-    /// Ports that boxes may use among themselves.
+    /// Ports for connections between boxes.
     #[serde(default)]
     pub peer_ports: Option<Ports>,
-    /// Addresses of some boxes; they may be stale or down. Only where they are
-    /// is used: the boxes are asked at the first of the `peer_ports`.
+    /// Addresses of some boxes; they may be outdated, and the boxes may be down. Only the
+    /// IP of each is used: the boxes are contacted on the first of the `peer_ports`.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Whether the fleet as a whole starts for the first time.
+    /// Whether the whole fleet starts for the first time.
     #[serde(default)]
     pub first_start: bool,
-    /// What the process may use.
+    /// Resource limits of the process.
     #[serde(default)]
     pub limits: Limits,
     /// The platform's store.
     pub store: Store,
-    /// Promised times and shares.
+    /// The time limits and ratios that the platform guarantees.
     #[serde(default)]
     pub bounds: Bounds,
-    /// Contents of requests that may pass again though servers ended under them, as
-    /// the log names them; none by default. What is added here is taken over by a
-    /// reload of any one box, which tells the others; at a start it says nothing.
+    /// Contents of requests that are accepted again although servers crashed under them,
+    /// by the fingerprints in the log; none by default. A content that is added here takes
+    /// effect when any one box reloads its settings, and that box notifies the others. At
+    /// the start of a process the list has no effect.
     #[serde(default, deserialize_with = "contents")]
     pub pardoned: BTreeSet<Fingerprint>,
-    /// Servers whose rest is over though they asked this box for more; none by default.
-    /// A server that is added here is sent to again at the reload that brings it, on
-    /// this box alone, until it asks again; at a start it says nothing.
+    /// Servers whose back-off ends although they requested a longer one from this box;
+    /// none by default. A server that is added here gets requests again from the reload on,
+    /// from this box only, until it requests another back-off. At the start of a process
+    /// the list has no effect.
     #[serde(default)]
     pub woken: BTreeSet<ids::Server>,
 }
@@ -99,17 +101,17 @@
 fn contents<'de, D: Deserializer<'de>>(from: D) -> Result<BTreeSet<Fingerprint>, D::Error> {
     let texts = Vec::<String>::deserialize(from)?;
     let contents = texts.iter().map(|text| {
-        let wrong = |error| format!("{text:?} is no content of a request: {error}");
+        let wrong = |error| format!("{text:?} is not a fingerprint of request content: {error}");
         text.parse().map_err(wrong).map_err(D::Error::custom)
     });
     contents.collect()
 }
 
-/// What the process may use.
+/// Resource limits of the process.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// File descriptors: bounds the clients that are taken.
+    /// File descriptor limit of the process; it bounds the number of client connections.
     pub descriptors: u32,
     /// Bandwidth of the box's link, in megabits per second.
     pub link_mbps: f64,
@@ -118,8 +120,8 @@
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            descriptors: DESCRIPTORS,
-            link_mbps: LINK_MBPS,
+            descriptors: DESCRIPTORS_DEFAULT,
+            link_mbps: LINK_MBPS_DEFAULT,
         }
     }
 }
@@ -127,6 +129,6 @@
 /// The platform's store.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Store {
-    /// Where it listens.
+    /// Address that the store listens on.
     pub address: SocketAddr,
 }
--- a/crates/relay/src/settings/read.rs
+++ b/crates/relay/src/settings/read.rs
@@ -1,4 +1,4 @@
-//! Reading a settings file, with errors that name the line and the field.
+//! Reads a settings file, with errors that name the line and the field.
 
 use std::fmt;
 use std::fs;
@@ -17,11 +17,11 @@
         /// Why.
         source: io::Error,
     },
-    /// The file is no JSON, lacks a field, or has a value of another type.
+    /// The file is not valid JSON, lacks a field, or has a value of a wrong type.
     Json {
         /// The file.
         file: PathBuf,
-        /// The field at which reading ended.
+        /// The field at which parsing failed.
         field: String,
         /// Why, and the line.
         source: serde_json::Error,
@@ -57,7 +57,8 @@
     }
 }
 
-// `Display` includes the cause already, so that no `source` repeats it.
+// `Display` already includes the cause, so `source` is not implemented: it would
+// repeat the cause.
 impl std::error::Error for Error {}
 
 /// Reads and checks a settings file.
@@ -83,8 +84,8 @@
     Ok(settings)
 }
 
-/// The last key at or before a place of the text, which the parser's errors
-/// about values do not name.
+/// The last key at or before a position in the text. The parser's errors about values
+/// do not name the key.
 fn field_before(text: &str, line: usize, column: usize) -> String {
     let before = text.split_inclusive('\n').take(line.saturating_sub(1));
     let start: usize = before.map(str::len).sum();
@@ -97,7 +98,7 @@
     key.unwrap_or("the start").into()
 }
 
-/// The line that gives a field; 0 when it is not given.
+/// The number of the line that contains a field; 0 if none does.
 fn line_of(text: &str, field: &str) -> usize {
     let key = format!("\"{}\"", field.rsplit('.').next().unwrap_or(field));
     let at = text.lines().position(|line| line.contains(&key));
--- a/crates/relay/src/settings/span.rs
+++ b/crates/relay/src/settings/span.rs
@@ -1,4 +1,4 @@
-//! Time spans as settings give them.
+//! Time spans in settings.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Deserializer};
 
 /// Longest time span of a setting: a day.
-const SPAN_MOST: Duration = Duration::from_secs(86_400);
+const SPAN_MAX: Duration = Duration::from_secs(86_400);
 
 /// A time span in whole milliseconds, of at most a day. Written `250ms`,
 /// `1.5s`, or as a plain number of milliseconds.
@@ -15,12 +15,13 @@
 pub struct Millis(u64);
 
 impl Millis {
-    /// A span of so many milliseconds; defaults are within the day.
+    /// A span of `millis` milliseconds. Not checked: used only for defaults, which are
+    /// within a day.
     pub(super) const fn new(millis: u64) -> Self {
         Self(millis)
     }
 
-    /// As a [`Duration`].
+    /// Converts to a [`Duration`].
     pub const fn duration(self) -> Duration {
         Duration::from_millis(self.0)
     }
@@ -32,7 +33,7 @@
     }
 }
 
-/// A text that is no time span.
+/// A text that is not a valid time span.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InvalidSpan(String);
 
@@ -61,7 +62,7 @@
         };
         let number = number.trim().parse::<f64>();
         let millis = number.map_err(|_| InvalidSpan(text.into()))? * unit;
-        if (0.0..=SPAN_MOST.as_millis() as f64).contains(&millis) {
+        if (0.0..=SPAN_MAX.as_millis() as f64).contains(&millis) {
             Ok(Self(millis.round() as u64))
         } else {
             Err(InvalidSpan(text.into()))
--- a/crates/relay/tests/process.rs
+++ b/crates/relay/tests/process.rs
@@ -305,12 +305,12 @@
 fn a_limit_holds_lines_back_and_counts_them() {
     let limit = Limit::new("placed", 3);
     let begun = Instant::now();
-    let passed = (0..10).filter(|_| limit.passes(begun)).count();
+    let passed = (0..10).filter(|_| limit.allows(begun)).count();
     assert_eq!(passed, 3);
-    assert_eq!(limit.held(), 7);
-    assert!(!limit.passes(begun + Duration::from_millis(999)));
-    assert!(limit.passes(begun + Duration::from_secs(1)));
-    assert_eq!(limit.held(), 0);
+    assert_eq!(limit.suppressed(), 7);
+    assert!(!limit.allows(begun + Duration::from_millis(999)));
+    assert!(limit.allows(begun + Duration::from_secs(1)));
+    assert_eq!(limit.suppressed(), 0);
 }
 
 #[test]
