--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -179,7 +179,7 @@
     }
 
     /// Sets the file descriptor limit of the process and derives
-    /// [`Relay::max_clients`] from it.
+    /// [`Relay::clients_max`] from it.
     pub fn set_descriptors(&self, descriptors: u32) {
         let left = descriptors.saturating_sub(DESCRIPTORS_RESERVED);
         let most = left / DESCRIPTORS_PER_CLIENT;
--- a/crates/relay/tests/process.rs
+++ b/crates/relay/tests/process.rs
@@ -1,4 +1,4 @@
-//! The process side of a router: its settings, its log, its own endpoints.
+//! The settings, the log and the metrics of a router process.
 
 use std::io::{self, Write};
 use std::path::PathBuf;
@@ -14,10 +14,10 @@
 use tidepier_relay::metrics::Registry;
 use tidepier_relay::settings::{self, Millis, Ports, Settings};
 
-/// As the platform fills the template in.
+/// A settings file as the platform generates it from the template.
 const SAMPLE: &str = include_str!("data/settings.json");
 
-/// Reads a settings file of this text.
+/// Reads `text` as a settings file.
 fn read(name: &str, text: &str) -> Result<Settings, settings::Error> {
     let folder = env::temp_dir().join(format!("tidepier-relay-{}", process::id()));
     fs::create_dir_all(&folder).expect("folder");
@@ -28,17 +28,17 @@
     settings
 }
 
-/// What reading the sample says once `from` is replaced.
-fn complaint(name: &str, from: &str, to: &str) -> String {
+/// The error for the sample with `from` replaced by `to`.
+fn error_text(name: &str, from: &str, to: &str) -> String {
     assert!(SAMPLE.contains(from), "the sample lacks {from}");
     let error = read(name, &SAMPLE.replacen(from, to, 1)).expect_err("bad settings");
     let text = error.to_string();
-    let (_, complaint) = text.split_once(&format!("{name}:")).expect("file");
-    complaint.into()
+    let (_, error_text) = text.split_once(&format!("{name}:")).expect("file");
+    error_text.into()
 }
 
 #[test]
-fn a_filled_in_template_is_read() {
+fn a_generated_settings_file_is_read() {
     let settings = read("whole", SAMPLE).expect("settings");
     let ports = Ports {
         first: 17_340,
@@ -58,7 +58,7 @@
     assert_eq!(stop.duration(), Duration::from_secs(8));
 }
 
-/// Runs the program itself on a settings file of this text, to check it.
+/// Runs the program with `--check` on `text` as a settings file.
 fn check(name: &str, text: &str) -> process::Output {
     let file = env::temp_dir().join(format!("tidepier-relay-{}-{name}", process::id()));
     fs::write(&file, text).expect("file");
@@ -79,14 +79,14 @@
 }
 
 #[test]
-fn a_share_of_a_request_is_an_allowance() {
+fn retry_extra_may_be_a_fraction() {
     let text = SAMPLE.replacen("\"retry_extra\": 58", "\"retry_extra\": 39.07", 1);
     let settings = read("fraction", &text).expect("settings");
     assert_eq!(settings.bounds.retry_extra, 39.07);
 }
 
 #[test]
-fn what_is_left_out_has_a_default() {
+fn omitted_fields_have_defaults() {
     let text = r#"{"name": "b", "hall": "h", "callers": "127.0.0.1:1",
         "store": {"address": "127.0.0.1:2"}}"#;
     let settings = read("small", text).expect("settings");
@@ -99,17 +99,17 @@
 
 #[test]
 fn bad_settings_name_file_line_and_field() {
-    let address = complaint("address", "127.0.0.1:18227", "here");
+    let address = error_text("address", "127.0.0.1:18227", "here");
     assert!(
         address.starts_with("4: at callers: invalid socket address syntax"),
         "{address}"
     );
-    let number = complaint("number", "4100", "\"much\"");
+    let number = error_text("number", "4100", "\"much\"");
     assert!(
         number.starts_with("11: at descriptors: invalid type"),
         "{number}"
     );
-    let tolerance = complaint(
+    let tolerance = error_text(
         "tolerance",
         "\"cold_tolerance\": 5",
         "\"cold_tolerance\": -1",
@@ -118,29 +118,29 @@
         tolerance.ends_with("at bounds.cold_tolerance: found -1; allowed: 0 or more"),
         "{tolerance}"
     );
-    let range = complaint("range", "0.2,", "1.5,");
+    let range = error_text("range", "0.2,", "1.5,");
     assert_eq!(
         range,
         "20: at bounds.retry_share: found 1.5; allowed: 0 to 1"
     );
-    let zero = complaint("zero", "\"10s\"", "0");
+    let zero = error_text("zero", "\"10s\"", "0");
     assert_eq!(
         zero,
         "21: at bounds.retry_window: found 0ms; allowed: more than 0ms"
     );
-    let span = complaint("span", "\"8s\"", "\"soon\"");
+    let span = error_text("span", "\"8s\"", "\"soon\"");
     assert!(
         span.starts_with("19: at stop_within: found \"soon\"; allowed: 0ms to 86400s"),
         "{span}"
     );
-    let ports = complaint("ports", "17355", "17339");
+    let ports = error_text("ports", "17355", "17339");
     assert!(
         ports.starts_with("7: at peer_ports: found 17340 to 17339"),
         "{ports}"
     );
-    let missing = complaint("missing", "\"address\": \"127.0.0.1:18223\"", "\"x\": 1");
+    let missing = error_text("missing", "\"address\": \"127.0.0.1:18223\"", "\"x\": 1");
     assert!(missing.contains("missing field `address`"), "{missing}");
-    let broken = complaint("broken", "\"bounds\": {", "\"bounds\": {,");
+    let broken = error_text("broken", "\"bounds\": {", "\"bounds\": {,");
     assert!(
         broken.starts_with("18: at bounds: key must be a string"),
         "{broken}"
@@ -161,15 +161,15 @@
     }
 }
 
-/// A reader of the log that stalls until it is let go.
-struct Stalled {
+/// An output whose reader stalls until it is released.
+struct StalledOutput {
     gate: Receiver<()>,
     text: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for Stalled {
+impl Write for StalledOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // Once the other end is gone, writing goes through.
+        // Once the sender is dropped, writes no longer block.
         let _ = self.gate.recv();
         self.text.lock().expect("text").extend_from_slice(bytes);
         Ok(bytes.len())
@@ -180,14 +180,14 @@
     }
 }
 
-fn stalled() -> (Queue, Sender<()>, Arc<Mutex<Vec<u8>>>) {
-    let (release, gate) = channel();
+fn stalled_queue() -> (Queue, Sender<()>, Arc<Mutex<Vec<u8>>>) {
+    let (unblock, gate) = channel();
     let text = Arc::<Mutex<Vec<u8>>>::default();
-    let out = Stalled {
+    let out = StalledOutput {
         gate,
         text: text.clone(),
     };
-    (Queue::start(out).expect("thread"), release, text)
+    (Queue::start(out).expect("thread"), unblock, text)
 }
 
 fn log_line(logger: &dyn Log, text: std::fmt::Arguments<'_>) {
@@ -199,11 +199,11 @@
 fn lines(text: &Mutex<Vec<u8>>) -> Vec<String> {
     let text = text.lock().expect("text");
     let text = std::str::from_utf8(&text).expect("text");
-    assert!(text.ends_with('\n'), "a line is cut");
+    assert!(text.ends_with('\n'), "a line is truncated");
     text.lines().map(String::from).collect()
 }
 
-/// Keeps each write apart.
+/// Records each write separately.
 #[derive(Clone, Default)]
 struct Writes(Arc<Mutex<Vec<Vec<u8>>>>);
 
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn lines_that_come_together_are_written_whole() {
+fn lines_logged_together_are_written_whole() {
     const LINES: usize = 300;
     const WRITE_BYTES: usize = 4 << 10;
     let writes = Writes::default();
@@ -236,7 +236,7 @@
     let writes = writes.0.lock().expect("writes");
     for bytes in writes.iter() {
         assert!(bytes.len() <= WRITE_BYTES, "{} bytes at once", bytes.len());
-        assert!(bytes.ends_with(b"\n"), "a line is cut");
+        assert!(bytes.ends_with(b"\n"), "a line is truncated");
     }
     let written = writes.concat();
     let lines = written.iter().filter(|byte| **byte == b'\n').count();
@@ -244,31 +244,30 @@
 }
 
 #[test]
-fn a_stalled_reader_costs_lines_and_no_time() {
+fn a_stalled_reader_drops_lines_without_blocking() {
     const LINES: usize = 20_000;
-    let (queue, release, text) = stalled();
+    let (queue, unblock, text) = stalled_queue();
     let logger = logger(LevelFilter::Info, &queue);
     let begun = Instant::now();
     for number in 0..LINES {
         log_line(&*logger, format_args!("event=placed number={number}"));
     }
-    // Blocking even once would last for as long as the reader stalls: until
-    // `release` is dropped below.
+    // A single blocked call would last until `unblock` is dropped below.
     assert!(begun.elapsed() < Duration::from_secs(5));
     assert!(!queue.flush(), "nothing could be written");
     let dropped = queue.dropped();
     assert!(dropped > 0);
-    drop(release);
+    drop(unblock);
     let begun = Instant::now();
     while !queue.flush() {
         assert!(begun.elapsed() < Duration::from_secs(10), "never written");
     }
     let lines = lines(&text);
-    let (told, placed): (Vec<_>, Vec<_>) = lines
+    let (reports, placed): (Vec<_>, Vec<_>) = lines
         .iter()
         .partition(|line| line.contains("lines_dropped"));
     assert_eq!(placed.len() as u64 + dropped, LINES as u64);
-    let counts = told.iter().map(|line| {
+    let counts = reports.iter().map(|line| {
         let (_, count) = line.split_once("count=").expect("count");
         count.parse::<u64>().expect("count")
     });
@@ -280,9 +279,9 @@
 }
 
 #[test]
-fn lines_are_whole_and_bounded() {
-    let (queue, release, text) = stalled();
-    drop(release);
+fn lines_are_complete_and_bounded() {
+    let (queue, unblock, text) = stalled_queue();
+    drop(unblock);
     let logger = logger(LevelFilter::Info, &queue);
     log_line(
         &*logger,
@@ -302,7 +301,7 @@
 }
 
 #[test]
-fn a_limit_holds_lines_back_and_counts_them() {
+fn a_limit_suppresses_and_counts_lines() {
     let limit = Limit::new("placed", 3);
     let begun = Instant::now();
     let passed = (0..10).filter(|_| limit.allows(begun)).count();
@@ -314,7 +313,7 @@
 }
 
 #[test]
-fn figures_are_bounded_and_told_as_text() {
+fn metrics_are_bounded_and_rendered_as_text() {
     let registry = Registry::default();
     let metadata = Metadata::new("test", Level::INFO, None);
     let labels = [("why", "a \"b\"\\\n")];
--- a/crates/relay/tests/relay/answers.rs
+++ b/crates/relay/tests/relay/answers.rs
@@ -1,4 +1,4 @@
-//! Answers reach clients as their servers made them, or not at all.
+//! Answers reach clients exactly as their servers sent them, or not at all.
 
 use eyre::{bail, ensure};
 use futures_lite::future;
@@ -24,10 +24,10 @@
             answer_bytes,
             ..server_settings(1)
         })?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         let long: Vec<u8> = (0..=255u8).cycle().take(200_000).collect();
         let chunks = || long.chunks(7_001).map(Into::into).collect();
-        let mut client = Client::open(house.router_address()).await?;
+        let mut client = Client::open(harness.router_address()).await?;
         for (target, payload) in [
             ("/r/sized?a=1%202", Payload::Sized(long.clone())),
             ("/r/chunked", Payload::Chunked(chunks())),
@@ -58,8 +58,8 @@
     run(async |executor| {
         let site = site()?;
         let server = site.server(server_settings(1))?;
-        let house = Harness::start_ready(executor, site).await?;
-        let mut client = Client::open(house.router_address()).await?;
+        let harness = Harness::start_ready(executor, site).await?;
+        let mut client = Client::open(harness.router_address()).await?;
         let length = server.settings().answer_bytes.to_string();
         for attempt in ["first", "second"] {
             let call = Call::new("HEAD", HOST, "/r/x", attempt);
@@ -83,9 +83,9 @@
     run(async |executor| {
         let site = site()?;
         let server = site.server(stream_server_settings(1, 3, ms(5)))?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         for target in ["/s/x", "/u/x"] {
-            let mut client = Client::open(house.router_address()).await?;
+            let mut client = Client::open(harness.router_address()).await?;
             let call = Call::new("HEAD", HOST, target, target);
             let answer = client.call(&call).await;
             ensure!(answer.status == 200 && answer.complete, "{answer:?}");
@@ -98,12 +98,12 @@
 }
 
 #[test]
-fn answers_that_end_with_their_connection_are_whole() -> Result {
+fn answers_delimited_by_close_are_complete() -> Result {
     run(async |executor| {
         let site = site()?;
         let server = site.server(server_settings(1))?;
-        let house = Harness::start_ready(executor, site).await?;
-        let mut client = Client::open(house.router_address()).await?;
+        let harness = Harness::start_ready(executor, site).await?;
+        let mut client = Client::open(harness.router_address()).await?;
         for fault in [Fault::Unframed, Fault::Close] {
             server.fault(fault, u32::MAX);
             for target in ["/r/x", "/o/x"] {
@@ -117,17 +117,17 @@
 }
 
 #[test]
-fn streams_that_end_with_their_connection_are_whole() -> Result {
+fn streams_delimited_by_close_are_complete() -> Result {
     run(async |executor| {
         let site = site()?;
         let server = site.server(stream_server_settings(1, 5, ms(10)))?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         for fault in [Fault::Unframed, Fault::Close] {
             server.fault(fault, u32::MAX);
             for target in ["/s/x", "/u/x"] {
                 let attempt = format!("{fault:?}{target}");
-                let answer = house.post(target, &attempt).await?;
-                // A client of streams takes the connection's end as theirs.
+                let answer = harness.post(target, &attempt).await?;
+                // For a stream without a length, the close of the connection is the end.
                 ensure_served_by(&answer, &[&server], &attempt)?;
             }
         }
@@ -135,16 +135,16 @@
     })
 }
 
-/// Seen in the soak: streams without a length, whose servers crashed, ended at their
-/// clients as whole ones do. The router knew better and asked for a reset, but ended its
-/// own side of the connection first, which to such a client is the answer's end. Proved
-/// by its log (`broken`) beside what the client got.
+/// Guards against a fault seen in the soak test: when a server crashed during a stream
+/// without a length, the client saw an orderly end. The router requested a reset of the
+/// connection (its log has `broken`), but had already closed its own side, which such a
+/// client takes as the end of a complete answer.
 #[test]
-fn a_stream_without_a_length_whose_server_crashes_does_not_look_whole() -> Result {
+fn a_stream_without_a_length_whose_server_crashes_ends_incomplete() -> Result {
     run(async |executor| {
         let site = site()?;
         let server = site.server(stream_server_settings(1, 40, ms(20)))?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         server.fault(Fault::Unframed, u32::MAX);
         let crash = async {
             wait_until("running", async || Ok(server.running() == 1)).await?;
@@ -153,41 +153,41 @@
             Result::Ok(())
         };
         let call = post("/u/x", "cut");
-        let (answer, ()) = future::try_zip(house.call(&call), crash).await?;
+        let (answer, ()) = future::try_zip(harness.call(&call), crash).await?;
         ensure!(
             answer.status == 200 && !answer.body.is_empty(),
             "{answer:?}"
         );
-        ensure!(!answer.complete, "it looks whole: {answer:?}");
+        ensure!(!answer.complete, "the answer looks complete: {answer:?}");
         Ok(())
     })
 }
 
-/// An answer is the right one, or no success.
-fn right_or_none(answer: &Answer, servers: &[&Server], attempt: &str) -> Result {
+/// Checks that an answer is either correct or a complete refusal with 502.
+fn ensure_correct_or_refused(answer: &Answer, servers: &[&Server], attempt: &str) -> Result {
     if (200..300).contains(&answer.status) {
         return ensure_served_by(answer, servers, attempt);
     }
     ensure!(answer.status == 502, "{attempt}: {answer:?}");
-    ensure!(answer.complete, "{attempt}: a refusal cut off");
+    ensure!(answer.complete, "{attempt}: the refusal is truncated");
     Ok(())
 }
 
-/// Sends requests while the near server spoils its answers; what reached it.
-/// An answer is `lost` by the fault, or still there.
-async fn spoiled(executor: Executor, fault: Fault, lost: bool) -> Result<Vec<Run>> {
+/// Sends requests while the near server has a fault in its answers, and returns the
+/// requests that reached it. `lost`: the fault makes the answer unusable.
+async fn run_with_fault(executor: Executor, fault: Fault, lost: bool) -> Result<Vec<Run>> {
     let site = site()?;
     let near = site.server(server_settings(1))?;
     let far = site.server(server_settings(2))?;
-    let house = Harness::start_ready(executor, site).await?;
-    let mut client = Client::open(house.router_address()).await?;
+    let harness = Harness::start_ready(executor, site).await?;
+    let mut client = Client::open(harness.router_address()).await?;
     let servers = [&near, &far];
     for round in 0..4 {
         for target in ["/r/x", "/o/x"] {
             near.fault(fault, 1);
             let attempt = format!("{round}{target}");
             let answer = client.call(&post(target, &attempt)).await;
-            right_or_none(&answer, &servers, &attempt)?;
+            ensure_correct_or_refused(&answer, &servers, &attempt)?;
             let ran = harness::count_runs(&servers, &attempt);
             match target {
                 "/r/x" => ensure!(answer.status == 200, "{answer:?}"),
@@ -199,7 +199,7 @@
             }
             near.heal();
             if answer.field("Connection") == Some("close") {
-                client = Client::open(house.router_address()).await?;
+                client = Client::open(harness.router_address()).await?;
             }
             let attempt = format!("{attempt}-after");
             let answer = client.call(&post(target, &attempt)).await;
@@ -209,11 +209,11 @@
     Ok(near.runs())
 }
 
-/// Most tries for a case that may not arise.
-const TRIES: usize = 6;
+/// Most repetitions of a test that may not reach the case to be tested.
+const REPETITIONS_MAX: usize = 6;
 
-/// Whether a request followed a spoiled answer on its connection.
-fn followed(runs: &[Run]) -> bool {
+/// Whether a request was sent on the connection of a faulty answer.
+fn connection_was_reused(runs: &[Run]) -> bool {
     runs.iter().any(|run| {
         let after = format!("{}-after", run.attempt);
         let mut runs = runs.iter();
@@ -222,37 +222,54 @@
 }
 
 #[test]
-fn garbage_is_no_answer() -> Result {
-    run(async |executor| spoiled(executor, Fault::Garbage, true).await.map(drop))
+fn garbage_is_not_forwarded() -> Result {
+    run(async |executor| {
+        run_with_fault(executor, Fault::Garbage, true)
+            .await
+            .map(drop)
+    })
 }
 
 #[test]
-fn an_answer_broken_off_is_no_answer() -> Result {
-    run(async |executor| spoiled(executor, Fault::BreakOff, true).await.map(drop))
+fn a_truncated_answer_is_not_forwarded() -> Result {
+    run(async |executor| {
+        run_with_fault(executor, Fault::BreakOff, true)
+            .await
+            .map(drop)
+    })
 }
 
 #[test]
-fn a_second_answer_belongs_to_nobody() -> Result {
-    run(async |executor| spoiled(executor, Fault::Extra, false).await.map(drop))
+fn a_surplus_answer_is_discarded() -> Result {
+    run(async |executor| {
+        run_with_fault(executor, Fault::Extra, false)
+            .await
+            .map(drop)
+    })
 }
 
 #[test]
-fn a_late_second_answer_belongs_to_nobody() -> Result {
+fn a_late_surplus_answer_is_discarded() -> Result {
     run(async |executor| {
-        // A router that finds this server slower than the other one goes there.
-        for _ in 0..TRIES {
-            let runs = spoiled(executor.clone(), Fault::LateExtra, false).await?;
-            if followed(&runs) {
+        // If this server appears slower than the other one, the router prefers the
+        // other and the case does not occur.
+        for _ in 0..REPETITIONS_MAX {
+            let runs = run_with_fault(executor.clone(), Fault::LateExtra, false).await?;
+            if connection_was_reused(&runs) {
                 return Ok(());
             }
         }
-        bail!("the case did not arise");
+        bail!("the test did not reach its case");
     })
 }
 
 #[test]
-fn an_unframed_answer_in_between_harms_no_other() -> Result {
-    run(async |executor| spoiled(executor, Fault::Unframed, false).await.map(drop))
+fn an_unframed_answer_does_not_affect_others() -> Result {
+    run(async |executor| {
+        run_with_fault(executor, Fault::Unframed, false)
+            .await
+            .map(drop)
+    })
 }
 
 #[test]
@@ -260,8 +277,8 @@
     run(async |executor| {
         let site = site()?;
         let server = site.server(server_settings(1))?;
-        let house = Harness::start_ready(executor, site).await?;
-        let mut client = Client::open(house.router_address()).await?;
+        let harness = Harness::start_ready(executor, site).await?;
+        let mut client = Client::open(harness.router_address()).await?;
         for (number, target) in ["/r/x", "/o/x", "/r/y", "/o/y"].into_iter().enumerate() {
             server.fault(Fault::Early, 1);
             let attempt = format!("early-{number}");
@@ -277,16 +294,16 @@
 }
 
 #[test]
-fn a_foreign_answer_is_not_passed_on() -> Result {
+fn an_answer_to_another_attempt_is_not_forwarded() -> Result {
     run(async |executor| {
         let site = site()?;
         let _raw = Raw::start(&executor, &site, "i-raw", |_| {
             Some(raw::answer("another", true))
         })?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         for (number, target) in ["/r/x", "/o/x", "/s/x", "/u/x"].into_iter().enumerate() {
             let call = post(target, &number.to_string()).with(names::DEADLINE, "600");
-            let answer = house.call(&call).await?;
+            let answer = harness.call(&call).await?;
             ensure!(matches!(answer.status, 502 | 504), "{answer:?}");
             ensure!(answer.field(names::SEAL).is_none(), "{answer:?}");
         }
@@ -295,16 +312,16 @@
 }
 
 #[test]
-fn a_foreign_answer_is_skipped_before_the_right_one() -> Result {
+fn an_answer_to_another_attempt_is_skipped_before_the_right_one() -> Result {
     run(async |executor| {
         let site = site()?;
-        let _raw = Raw::start(&executor, &site, "i-raw", |asked| {
+        let _raw = Raw::start(&executor, &site, "i-raw", |request| {
             let foreign = raw::answer("another", true);
-            Some(foreign + &raw::answer(&asked.attempt, true))
+            Some(foreign + &raw::answer(&request.attempt, true))
         })?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         for target in ["/r/x", "/o/x"] {
-            let answer = house.post(target, target).await?;
+            let answer = harness.post(target, target).await?;
             ensure!(answer.status == 200, "{answer:?}");
             ensure!(answer.field(names::ATTEMPT) == Some(target), "{answer:?}");
         }
@@ -313,15 +330,15 @@
 }
 
 #[test]
-fn a_success_without_a_signature_is_not_passed_on() -> Result {
+fn a_success_without_a_signature_is_not_forwarded() -> Result {
     run(async |executor| {
         let site = site()?;
-        let _raw = Raw::start(&executor, &site, "i-raw", |asked| {
-            Some(raw::answer(&asked.attempt, false))
+        let _raw = Raw::start(&executor, &site, "i-raw", |request| {
+            Some(raw::answer(&request.attempt, false))
         })?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         for target in ["/r/x", "/o/x", "/s/x", "/u/x"] {
-            let answer = house.post(target, target).await?;
+            let answer = harness.post(target, target).await?;
             ensure!(answer.status == 502, "{answer:?}");
         }
         Ok(())
@@ -329,16 +346,16 @@
 }
 
 #[test]
-fn a_kept_connection_that_the_server_closed_costs_no_request() -> Result {
+fn a_pooled_connection_closed_by_its_server_fails_no_request() -> Result {
     run(async |executor| {
         let site = site()?;
         let server = site.server(server_settings(1))?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         server.close_idle(Some(ms(60)));
         for number in 0..6 {
             let target = ["/r/x", "/o/x"][number % 2];
             let attempt = format!("{number}");
-            let answer = house.post(target, &attempt).await?;
+            let answer = harness.post(target, &attempt).await?;
             ensure_served_by(&answer, &[&server], &attempt)?;
             ensure!(server.ran(&attempt) == 1, "{attempt} ran twice");
             Timer::after(ms(120)).await;
@@ -347,19 +364,20 @@
     })
 }
 
-/// A server that closes a rested connection just when a request comes.
-fn closes_when_asked_again(asked: &raw::Asked) -> Option<String> {
-    (asked.number == 0).then(|| raw::answer(&asked.attempt, true))
+/// Answers the first request of a connection and closes it on the second, like a server
+/// that closes an idle connection just as a request arrives.
+fn close_on_second_request(request: &raw::Request) -> Option<String> {
+    (request.number == 0).then(|| raw::answer(&request.attempt, true))
 }
 
 #[test]
 fn a_repeatable_request_survives_a_connection_closing_under_it() -> Result {
     run(async |executor| {
         let site = site()?;
-        let _raw = Raw::start(&executor, &site, "i-raw", closes_when_asked_again)?;
-        let house = Harness::start_ready(executor, site).await?;
+        let _raw = Raw::start(&executor, &site, "i-raw", close_on_second_request)?;
+        let harness = Harness::start_ready(executor, site).await?;
         for number in 0..4 {
-            let answer = house.post("/r/x", &number.to_string()).await?;
+            let answer = harness.post("/r/x", &number.to_string()).await?;
             ensure!(answer.status == 200, "{answer:?}");
         }
         Ok(())
@@ -367,13 +385,13 @@
 }
 
 #[test]
-fn a_once_only_request_takes_no_connection_that_rested_long() -> Result {
+fn a_once_only_request_does_not_use_a_long_idle_connection() -> Result {
     run(async |executor| {
         let site = site()?;
-        let _raw = Raw::start(&executor, &site, "i-raw", closes_when_asked_again)?;
-        let house = Harness::start_ready(executor, site).await?;
+        let _raw = Raw::start(&executor, &site, "i-raw", close_on_second_request)?;
+        let harness = Harness::start_ready(executor, site).await?;
         for number in 0..2 {
-            let answer = house.post("/o/x", &number.to_string()).await?;
+            let answer = harness.post("/o/x", &number.to_string()).await?;
             ensure!(answer.status == 200, "{answer:?}");
             Timer::after(ms(1_700)).await;
         }
--- a/crates/relay/tests/relay/logged.rs
+++ b/crates/relay/tests/relay/logged.rs
@@ -1,4 +1,4 @@
-//! What the log says of servers, for those who look for a cause.
+//! Log lines about servers.
 
 use std::sync::{Mutex, OnceLock};
 
@@ -7,7 +7,7 @@
 
 use crate::harness::{run, server_settings, site, wait_until, Harness, Result, SERVICE};
 
-/// Lines of all tests that run in this process.
+/// The log lines of all tests in this process.
 #[derive(Default)]
 struct Lines(Mutex<Vec<String>>);
 
@@ -26,7 +26,7 @@
     fn flush(&self) {}
 }
 
-/// The lines so far; gathers them from the first call on.
+/// The lines logged so far. The first call installs the logger.
 fn lines() -> &'static Lines {
     static LINES: OnceLock<Lines> = OnceLock::new();
     static SET: OnceLock<()> = OnceLock::new();
@@ -39,23 +39,23 @@
 }
 
 #[test]
-fn a_server_that_is_gone_is_logged_with_its_hall() -> Result {
+fn a_removed_server_is_logged_with_its_hall() -> Result {
     run(async |executor| {
         let lines = lines();
         let site = site()?;
         let _stays = site.server(server_settings(1))?;
         let mut settings = server_settings(2);
         settings.id = "i-logged".into();
-        let gone = site.server(settings)?;
-        let house = Harness::start_ready(executor, site).await?;
-        house.site.withdraw(&gone);
-        let told = || {
+        let removed = site.server(settings)?;
+        let harness = Harness::start_ready(executor, site).await?;
+        harness.site.withdraw(&removed);
+        let logged_line = || {
             let lines = lines.0.lock().expect("lines");
-            let of_it = |line: &&String| line.contains("change=Gone id=i-logged ");
-            lines.iter().find(of_it).cloned()
+            let about_it = |line: &&String| line.contains("change=Gone id=i-logged ");
+            lines.iter().find(about_it).cloned()
         };
-        wait_until("logged", async || Ok(told().is_some())).await?;
-        let line = told().ok_or_else(|| eyre!("no line"))?;
+        wait_until("logged", async || Ok(logged_line().is_some())).await?;
+        let line = logged_line().ok_or_else(|| eyre!("no log line"))?;
         let expected = format!("service={SERVICE} hall=hall-2 revision=");
         ensure!(line.contains(&expected), "{line}");
         Ok(())
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn servers_that_are_learned_of_at_once_are_one_line() -> Result {
+fn servers_discovered_together_are_logged_in_one_line() -> Result {
     run(async |executor| {
         let lines = lines();
         let site = site()?;
@@ -77,8 +77,8 @@
         let _house = Harness::start_ready(executor, site).await?;
         let joined = || {
             let lines = lines.0.lock().expect("lines");
-            let of_them = lines.iter().filter(|line| line.contains("i-bulk-"));
-            let joined = of_them.filter(|line| line.contains("change=Joined"));
+            let about_them = lines.iter().filter(|line| line.contains("i-bulk-"));
+            let joined = about_them.filter(|line| line.contains("change=Joined"));
             joined.cloned().collect::<Vec<String>>()
         };
         wait_until("logged", async || Ok(!joined().is_empty())).await?;
--- a/crates/relay/tests/relay/main.rs
+++ b/crates/relay/tests/relay/main.rs
@@ -1,8 +1,8 @@
-//! A real router between stand-ins of its surroundings, over loopback.
+//! Tests of a real router with stand-ins for its environment, over loopback.
 //!
-//! Each test has a store, servers, a router and a thread of its own, so that
-//! they run side by side. What is asserted is what reached a socket; the time
-//! limits of waits are generous, those of promises are the promises.
+//! Each test has its own store, servers, router and thread, so that tests run in
+//! parallel. They assert what reached a socket. Time limits of waits are generous;
+//! where the router guarantees a time, the limit is that time.
 
 mod answers;
 mod beliefs;
@@ -41,11 +41,11 @@
 mod registry;
 mod requests;
 mod resting;
+mod retries;
 mod returned;
 mod returns;
 mod rollouts;
 mod seeds;
-mod sendings;
 mod shared;
 mod sim;
 mod sizes;
--- a/crates/relay/tests/relay/process.rs
+++ b/crates/relay/tests/relay/process.rs
@@ -1,4 +1,4 @@
-//! A router that is a process of its own, with its settings file.
+//! A router that runs as a separate process, with its settings file.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 
 use crate::harness::Result;
 
-/// A router process; it ends when dropped.
+/// A router process; it is killed when dropped.
 pub(crate) struct Process {
     child: Child,
     pub(crate) file: PathBuf,
@@ -21,7 +21,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended before.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = fs::remove_file(&self.file);
@@ -29,10 +29,11 @@
 }
 
 impl Process {
-    /// Starts a router that logs so much. `name` is that of its settings file.
+    /// Starts a router with `log` as its log level. `name` is part of the name of its
+    /// settings file.
     pub(crate) fn start(name: &str, log: &str, settings: &Value) -> Result<Self> {
         let front = settings["callers"].as_str();
-        let front = front.ok_or_else(|| eyre!("no address for clients"))?;
+        let front = front.ok_or_else(|| eyre!("no client address in the settings"))?;
         let file = format!("relay-{name}.json");
         let file = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(file);
         fs::write(&file, settings.to_string())?;
@@ -47,11 +48,11 @@
         })
     }
 
-    /// Ends it at once, without a chance to do anything about that.
+    /// Kills the process and waits until it has exited.
     pub(crate) fn kill(&mut self) -> Result {
         self.child.kill()?;
         let status = self.child.wait()?;
-        ensure!(!status.success(), "it ended by itself");
+        ensure!(!status.success(), "the process had exited by itself");
         Ok(())
     }
 
@@ -62,12 +63,12 @@
         Ok(())
     }
 
-    /// How it ended, once it has.
-    pub(crate) fn ended(&mut self) -> Result<Option<ExitStatus>> {
+    /// The exit status, once the process has exited.
+    pub(crate) fn exit_status(&mut self) -> Result<Option<ExitStatus>> {
         Ok(self.child.try_wait()?)
     }
 
-    /// The status of the answer to a call; 0 without one.
+    /// The status of the answer to a request; 0 if there was no answer.
     pub(crate) async fn call(&self, call: &Call) -> u16 {
         let answer = Client::once(self.front, call).await;
         answer.map_or(0, |answer| answer.status)
--- a/crates/relay/tests/relay/raw.rs
+++ b/crates/relay/tests/relay/raw.rs
@@ -1,4 +1,4 @@
-//! A server that answers with whatever bytes a test makes.
+//! Servers that answer with arbitrary bytes given by a test.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,58 +11,59 @@
 
 use crate::harness::{Executor, Result, SERVICE};
 
-/// Time after which unacknowledged data ends a connection; never on loopback.
-const UNACKED: Duration = Duration::from_secs(30);
+/// Time after which a connection with unacknowledged data is closed; never reached on
+/// loopback.
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(30);
 /// Largest head of a request, in bytes.
-const HEAD_BYTES: usize = 64 << 10;
+const HEAD_BYTES_MAX: usize = 64 << 10;
 
-/// A request to be answered.
-pub(crate) struct Asked {
-    /// The id of its attempt.
+/// A request that reached the server.
+pub(crate) struct Request {
+    /// Its attempt id.
     pub(crate) attempt: String,
-    /// Its number on its connection, from 0.
+    /// Its index on its connection, from 0.
     pub(crate) number: usize,
 }
 
-/// The server; it ends when dropped.
+/// A running server; it stops when dropped.
 pub(crate) struct Raw {
     _task: Task<()>,
 }
 
 impl Raw {
-    /// Starts a server as `id` and announces it. `answer` makes the bytes of an
-    /// answer, or `None` to close the connection.
+    /// Starts a server and registers it as `id`. `answer` returns the bytes of an answer,
+    /// or `None` to close the connection.
     pub(crate) fn start(
         executor: &Executor,
         site: &Site,
         id: &str,
-        answer: impl Fn(&Asked) -> Option<String> + 'static,
+        answer: impl Fn(&Request) -> Option<String> + 'static,
     ) -> Result<Self> {
         let listener = Listener::bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         announce(site, id, &listener)?;
         let answer = Rc::new(answer);
         let tasks = executor.clone();
         let task = executor.spawn(async move {
-            while let Ok(conn) = listener.accept(UNACKED).await {
+            while let Ok(conn) = listener.accept(UNACKED_TIMEOUT).await {
                 let answer = answer.clone();
-                let talk = async move { talk(conn, &*answer).await };
-                tasks.spawn(talk).detach();
+                let serve = async move { serve(conn, &*answer).await };
+                tasks.spawn(serve).detach();
             }
         });
         Ok(Self { _task: task })
     }
 }
 
-async fn talk(mut conn: Conn, answer: &impl Fn(&Asked) -> Option<String>) {
+async fn serve(mut conn: Conn, answer: &impl Fn(&Request) -> Option<String>) {
     for number in 0.. {
-        let Ok(Some(head)) = conn.head(HEAD_BYTES).await else {
+        let Ok(Some(head)) = conn.head(HEAD_BYTES_MAX).await else {
             return;
         };
         if read(&mut conn, &head).await.is_err() {
             return;
         }
         let attempt = head.text("Attempt-Id").unwrap_or_default().to_owned();
-        let Some(text) = answer(&Asked { attempt, number }) else {
+        let Some(text) = answer(&Request { attempt, number }) else {
             return;
         };
         if conn.writer().write_all(text.as_bytes()).await.is_err() {
@@ -73,12 +74,12 @@
 
 async fn read(conn: &mut Conn, head: &Head) -> Result {
     let mut body = Body::new(Framing::of_request(head)?);
-    let mut scrap = Vec::new();
-    while body.read(conn, &mut scrap).await? {}
+    let mut discarded = Vec::new();
+    while body.read(conn, &mut discarded).await? {}
     Ok(())
 }
 
-/// A server that gives its answer in two parts.
+/// A server that sends its answer in two parts.
 pub(crate) struct TwoPartServer {
     /// Time from the request to the first part.
     pub(crate) first: Duration,
@@ -87,8 +88,8 @@
 }
 
 impl TwoPartServer {
-    /// Starts the server as `id` and announces it. `answer` makes the two
-    /// parts; a connection carries one request.
+    /// Starts the server and registers it as `id`. `answer` returns the two parts; a
+    /// connection carries one request.
     pub(crate) fn start(
         self,
         executor: &Executor,
@@ -101,21 +102,21 @@
         let shared = Rc::new((self, answer));
         let tasks = executor.clone();
         let task = executor.spawn(async move {
-            while let Ok(mut conn) = listener.accept(UNACKED).await {
+            while let Ok(mut conn) = listener.accept(UNACKED_TIMEOUT).await {
                 let shared = shared.clone();
-                let talk = async move {
+                let serve = async move {
                     let (times, answer) = &*shared;
-                    // A client that leaves ends the answer; that is no fault.
-                    let _ = times.talk(&mut conn, answer).await;
+                    // An error here only means that the client disconnected.
+                    let _ = times.serve(&mut conn, answer).await;
                 };
-                tasks.spawn(talk).detach();
+                tasks.spawn(serve).detach();
             }
         });
         Ok(Raw { _task: task })
     }
 
-    async fn talk(&self, conn: &mut Conn, answer: &impl Fn(&str) -> [String; 2]) -> Result {
-        let Some(head) = conn.head(HEAD_BYTES).await? else {
+    async fn serve(&self, conn: &mut Conn, answer: &impl Fn(&str) -> [String; 2]) -> Result {
+        let Some(head) = conn.head(HEAD_BYTES_MAX).await? else {
             return Ok(());
         };
         read(conn, &head).await?;
@@ -137,7 +138,7 @@
     Ok(())
 }
 
-/// A whole answer to an attempt, signed or not.
+/// A complete answer to an attempt, with or without a signature.
 pub(crate) fn answer(attempt: &str, signed: bool) -> String {
     let seal = if signed { "Response-Seal: raw\r\n" } else { "" };
     format!("HTTP/1.1 200 OK\r\nAttempt-Id: {attempt}\r\n{seal}Content-Length: 2\r\n\r\nok")
--- a/crates/relay/tests/relay/recover.rs
+++ b/crates/relay/tests/relay/recover.rs
@@ -1,4 +1,4 @@
-//! All boxes end at the same moment, without a word, and start again.
+//! All boxes crash at the same moment and start again.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,10 +12,10 @@
 use crate::box_harness::{self, address, served, site_with_keys, with_key, Process, TestBox};
 use crate::harness::{ensure_not_executed, ms, run, server_settings, wait_until, Executor, Result};
 
-/// The bound: so long after the boxes are back, requests are served again.
-const RECOVER_TIME: Duration = Duration::from_secs(12);
-/// How long the store stays away after the boxes are back.
-const AWAY_TIME: Duration = Duration::from_millis(1_500);
+/// The bound on the time from the restart of the boxes until they serve requests.
+const RECOVERY_TIME_MAX: Duration = Duration::from_secs(12);
+/// How long the store stays unreachable after the restart of the boxes.
+const OUTAGE_TIME: Duration = Duration::from_millis(1_500);
 /// Boxes, in two halls.
 const BOXES: [(&str, &str, u32); 4] = [
     ("box-0", "hall-1", 1_000),
@@ -24,7 +24,7 @@
     ("box-3", "hall-2", 700),
 ];
 
-fn started(site: &Site, peers: &[SocketAddr]) -> Result<Vec<Process>> {
+fn start(site: &Site, peers: &[SocketAddr]) -> Result<Vec<Process>> {
     let boxes = BOXES.iter().zip(peers);
     boxes
         .map(|((name, hall, link), peer)| {
@@ -33,63 +33,63 @@
         .collect()
 }
 
-/// Waits until every box serves a request with a key.
-async fn all_serve(boxes: &[Process]) -> Result {
+/// Waits until every box serves a request with an API key.
+async fn wait_until_all_serve(boxes: &[Process]) -> Result {
     for process in boxes {
         wait_until("served", async || Ok(process.serves().await)).await?;
     }
     Ok(())
 }
 
-/// Ends all at once; afterwards nothing of them is left.
+/// Kills all boxes at once; their processes have exited when this returns.
 fn kill_all(mut boxes: Vec<Process>) -> Result {
     boxes.iter_mut().try_for_each(Process::kill)
 }
 
-/// A site with a server, and its boxes, which all serve.
-async fn serving() -> Result<(Site, Server, Vec<SocketAddr>, Vec<Process>)> {
+/// A site with a server and boxes that all serve requests.
+async fn start_serving() -> Result<(Site, Server, Vec<SocketAddr>, Vec<Process>)> {
     let site = site_with_keys()?;
     let server = site.server(server_settings(1))?;
     let peers: Vec<SocketAddr> = BOXES.iter().map(|_| address()).collect();
-    let boxes = started(&site, &peers)?;
-    all_serve(&boxes).await?;
+    let boxes = start(&site, &peers)?;
+    wait_until_all_serve(&boxes).await?;
     Ok((site, server, peers, boxes))
 }
 
 #[test]
 fn all_boxes_serve_again_after_all_were_killed() -> Result {
     run(async |_| {
-        let (site, _server, peers, mut boxes) = serving().await?;
+        let (site, _server, peers, mut boxes) = start_serving().await?;
         for _ in 0..2 {
             kill_all(boxes)?;
-            boxes = started(&site, &peers)?;
+            boxes = start(&site, &peers)?;
             let back = Instant::now();
-            all_serve(&boxes).await?;
-            ensure!(back.elapsed() < RECOVER_TIME, "{:?}", back.elapsed());
+            wait_until_all_serve(&boxes).await?;
+            ensure!(back.elapsed() < RECOVERY_TIME_MAX, "{:?}", back.elapsed());
         }
         Ok(())
     })
 }
 
 #[test]
-fn all_boxes_serve_again_after_they_were_killed_while_the_store_was_away() -> Result {
+fn all_boxes_serve_again_after_they_were_killed_during_a_store_outage() -> Result {
     run(async |_| {
-        let (site, _server, peers, mut boxes) = serving().await?;
+        let (site, _server, peers, mut boxes) = start_serving().await?;
         site.store.faults(|faults| faults.down = Some(Down::Silent));
         kill_all(boxes)?;
-        boxes = started(&site, &peers)?;
+        boxes = start(&site, &peers)?;
         let back = Instant::now();
-        refused_by(&boxes).await?;
-        Timer::at(back + AWAY_TIME).await;
+        ensure_refused(&boxes).await?;
+        Timer::at(back + OUTAGE_TIME).await;
         site.store.faults(|faults| faults.down = None);
-        all_serve(&boxes).await?;
-        ensure!(back.elapsed() < RECOVER_TIME, "{:?}", back.elapsed());
+        wait_until_all_serve(&boxes).await?;
+        ensure!(back.elapsed() < RECOVERY_TIME_MAX, "{:?}", back.elapsed());
         Ok(())
     })
 }
 
-/// Checks that boxes that know nothing promise that a request has not run.
-async fn refused_by(boxes: &[Process]) -> Result {
+/// Checks that boxes without a catalog refuse a request as not executed.
+async fn ensure_refused(boxes: &[Process]) -> Result {
     for process in boxes {
         let call = with_key("stays", "early").leaving(ms(900));
         wait_until("listening", async || {
@@ -110,19 +110,19 @@
 }
 
 #[test]
-fn boxes_at_other_addresses_serve_after_all_went() -> Result {
+fn boxes_at_new_addresses_serve_after_all_old_ones_are_gone() -> Result {
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
         let first = machines(&executor, &site).await?;
         box_harness::ready(&first).await?;
         served(&first, &[&server], ms(100)).await?;
-        // Their entries in the store outlive them, and lead nowhere.
+        // Their entries stay in the store, but nothing listens at their addresses.
         drop(first);
         let next = machines(&executor, &site).await?;
         let back = Instant::now();
         box_harness::ready(&next).await?;
-        ensure!(back.elapsed() < RECOVER_TIME, "{:?}", back.elapsed());
+        ensure!(back.elapsed() < RECOVERY_TIME_MAX, "{:?}", back.elapsed());
         served(&next, &[&server], ms(300)).await
     })
 }
--- a/crates/relay/tests/relay/requests.rs
+++ b/crates/relay/tests/relay/requests.rs
@@ -1,5 +1,5 @@
-//! What a server gets with a request, how long the request is held, and
-//! when it counts as sent.
+//! What a server receives with a request, how long the router holds a request, and
+//! when a prompt counts as sent.
 
 use std::time::{Duration, Instant};
 
@@ -23,26 +23,27 @@
     SERVICE,
 };
 
-/// Promised time from a client's leaving to the end at its server.
-const LEAVE_TIME: Duration = Duration::from_millis(100);
-/// Most tries for it.
-const TRIES: usize = 5;
+/// Guaranteed time from a client's disconnect to the end of its request at the server.
+const CANCEL_TIME_MAX: Duration = Duration::from_millis(100);
+/// Most repetitions to stay within that time.
+const REPETITIONS_MAX: usize = 5;
 
 #[test]
-fn a_client_that_leaves_ends_its_request_at_once() -> Result {
+fn a_client_disconnect_cancels_its_request_at_once() -> Result {
     run(async |executor| {
         let site = site()?;
         let server = site.server(Settings {
             work: Duration::from_secs(20),
             ..server_settings(1)
         })?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         let mut number = 0;
         for target in ["/r/x", "/o/x", "/u/x"] {
             let mut times = Vec::new();
-            // A busy machine may hold up some of them.
-            while times.len() < TRIES && times.iter().all(|time| *time >= LEAVE_TIME) {
-                let mut client = Client::open(house.router_address()).await?;
+            // A loaded machine may delay some of them.
+            while times.len() < REPETITIONS_MAX && times.iter().all(|time| *time >= CANCEL_TIME_MAX)
+            {
+                let mut client = Client::open(harness.router_address()).await?;
                 let call = post(target, target).leaving(ms(200));
                 let answer = client.call(&call).await;
                 ensure!(answer.end == End::Left, "{answer:?}");
@@ -56,36 +57,41 @@
                 times.push(closed.saturating_duration_since(left));
                 number += 1;
             }
-            let in_time = times.iter().any(|time| *time < LEAVE_TIME);
+            let in_time = times.iter().any(|time| *time < CANCEL_TIME_MAX);
             ensure!(in_time, "{target}: {times:?}");
         }
         Timer::after(ms(100)).await;
         let sent = server.runs().len();
-        ensure!(sent == number, "sent again for nobody");
+        ensure!(
+            sent == number,
+            "sent again after the client had disconnected"
+        );
         Ok(())
     })
 }
 
 #[test]
-fn the_time_left_is_passed_on_and_shrinks() -> Result {
+fn the_remaining_time_is_forwarded_and_shrinks() -> Result {
     run(async |executor| {
-        let (near, far, house) = start_with_two_servers(executor).await?;
+        let (near, far, harness) = start_with_two_servers(executor).await?;
         near.fault(Fault::Hang, 1);
         let call = post("/r/x", "slow").with(names::DEADLINE, "3000");
-        let answer = house.call(&call).await?;
+        let answer = harness.call(&call).await?;
         ensure_served_by(&answer, &[&near, &far], "slow")?;
         let left = |runs: &[Run]| -> Result<u64> {
-            let told = runs[0].field(names::DEADLINE);
-            Ok(told.ok_or_else(|| eyre!("no time told"))?.parse()?)
+            let announced = runs[0].field(names::DEADLINE);
+            Ok(announced
+                .ok_or_else(|| eyre!("no deadline in the request"))?
+                .parse()?)
         };
         let (first, second) = (left(&near.runs())?, left(&far.runs())?);
         ensure!(first <= 3_000 && first > 1_000, "{first} ms");
-        // It took the first server's silence to be sent again.
+        // The retry came only after the first server was unresponsive.
         ensure!(second + 500 <= first, "{second} ms after {first} ms");
         let apart = far.runs()[0].arrived - near.runs()[0].arrived;
         let apart = apart.as_millis() as u64;
-        // What is told is what is left, but for the way to the server, which a
-        // busy machine makes longer.
+        // The header gives the remaining time. It differs by the transit time to
+        // the server, which is longer on a loaded machine.
         ensure!(
             second + apart <= first + 500,
             "{second} ms, {apart} ms later"
@@ -109,20 +115,22 @@
         };
         site.declare(&[once, repeatable]);
         let server = site.server(server_settings(1))?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         server.fault(Fault::Hang, u32::MAX);
         for target in ["/short/x", "/shortr/x"] {
-            let answer = house.post(target, target).await?;
+            let answer = harness.post(target, target).await?;
             ensure!(answer.status == 504, "{answer:?}");
             ensure!(answer.elapsed >= ms(300), "{:?}", answer.elapsed);
             ensure!(answer.elapsed < ms(1_400), "{:?}", answer.elapsed);
         }
-        let told = server.runs()[0].field(names::DEADLINE).map(str::to_owned);
-        let told: u64 = told.ok_or_else(|| eyre!("no time told"))?.parse()?;
-        ensure!(told <= 400, "{told} ms");
-        // A client in a hurry is answered in its own time.
+        let announced = server.runs()[0].field(names::DEADLINE).map(str::to_owned);
+        let announced: u64 = announced
+            .ok_or_else(|| eyre!("no deadline in the request"))?
+            .parse()?;
+        ensure!(announced <= 400, "{announced} ms");
+        // A client with a shorter deadline is answered within it.
         let call = post("/o/x", "hurry").with(names::DEADLINE, "300");
-        let answer = house.call(&call).await?;
+        let answer = harness.call(&call).await?;
         ensure!(answer.status == 504, "{answer:?}");
         ensure!(answer.elapsed < ms(1_300), "{:?}", answer.elapsed);
         Ok(())
@@ -138,41 +146,41 @@
             work: ms(60),
             ..server_settings(2)
         })?;
-        let house = Harness::start_ready(executor, site).await?;
-        // The near server is known to be quick, and wanted by all that follow.
+        let harness = Harness::start_ready(executor, site).await?;
+        // The near server is known to be fast, so that later requests prefer it.
         for number in 0..5 {
-            house.post("/o/x", &format!("before-{number}")).await?;
+            harness.post("/o/x", &format!("before-{number}")).await?;
         }
-        let wanted = near.runs().len();
-        ensure!(wanted >= 3, "the case did not arise");
+        let preferred = near.runs().len();
+        ensure!(preferred >= 3, "the test did not reach its case");
         near.slow(200.0);
         let leaves = async {
             wait_until("running", async || Ok(near.running() == 1)).await?;
             near.slow(1.0);
-            house.site.announce(&near, State::Draining);
-            let told = Instant::now();
+            harness.site.announce(&near, State::Draining);
+            let announced = Instant::now();
             let mut number = 0;
-            while told.elapsed() < ms(1_600) {
+            while announced.elapsed() < ms(1_600) {
                 number += 1;
                 let attempt = format!("new-{number}");
-                let answer = house.post("/o/x", &attempt).await?;
+                let answer = harness.post("/o/x", &attempt).await?;
                 ensure_served_by(&answer, &[&near, &far], &attempt)?;
             }
-            Ok(told)
+            Ok(announced)
         };
         let call = post("/o/x", "old");
-        let (old, told) = future::try_zip(house.call(&call), leaves).await?;
+        let (old, announced) = future::try_zip(harness.call(&call), leaves).await?;
         ensure_served_by(&old, &[&near], "old")?;
-        let late = |run: &&Run| run.arrived > told + ms(900);
+        let late = |run: &&Run| run.arrived > announced + ms(900);
         let runs = near.runs();
         let late = runs.iter().filter(late).count();
-        ensure!(late == 0, "{late} requests for a server that leaves");
+        ensure!(late == 0, "{late} requests sent to a leaving server");
         Ok(())
     })
 }
 
 #[test]
-fn servers_are_told_who_asks_and_for_whom_it_is() -> Result {
+fn requests_carry_their_account_and_target_server() -> Result {
     run(async |executor| {
         let site = site()?;
         let keyed = Route {
@@ -183,8 +191,8 @@
         site.account("tenant-1", &["secret-1"], 0);
         let near = site.server(server_settings(1))?;
         let far = site.server(server_settings(2))?;
-        let house = Harness::start_ready(executor, site).await?;
-        let mut client = Client::open(house.router_address()).await?;
+        let harness = Harness::start_ready(executor, site).await?;
+        let mut client = Client::open(harness.router_address()).await?;
         for number in 0..12 {
             let attempt = format!("{number}");
             let target = ["/k/x", "/r/x", "/o/x"][number % 3];
@@ -225,12 +233,12 @@
 }
 
 #[test]
-fn a_request_of_a_kept_connection_waits_for_the_one_before() -> Result {
+fn pipelined_requests_are_answered_in_order() -> Result {
     run(async |executor| {
         let site = site()?;
         let server = site.server(stream_server_settings(1, 3, ms(20)))?;
-        let house = Harness::start_ready(executor, site).await?;
-        let mut client = Client::open(house.router_address()).await?;
+        let harness = Harness::start_ready(executor, site).await?;
+        let mut client = Client::open(harness.router_address()).await?;
         let calls: Vec<Call> = (0..5)
             .map(|number| Call::new("POST", HOST, "/s/x", &number.to_string()).body(b"question"))
             .collect();
@@ -246,7 +254,7 @@
     run(async |executor| {
         let site = site()?;
         let server = site.server(server_settings(1))?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         let parts = [(0x5c1e, 800), (0x91bd, 100)];
         let listed: Vec<String> = parts
             .iter()
@@ -259,8 +267,8 @@
             parts: parts.map(|(id, tokens)| Part { id, tokens }).to_vec(),
         };
         let id = server.settings().id.parse()?;
-        let lacking = || -> Result<f64> {
-            let relay = house.router.relay();
+        let missing_tokens = || -> Result<f64> {
+            let relay = harness.router.relay();
             let (fleet, index) = (&relay.fleet, &relay.traffic.index);
             let service = SERVICE.parse()?;
             let now = tidepier_clock::Instant::now();
@@ -270,15 +278,18 @@
         let call = |attempt: &str| post("/r/x", attempt).with(names::PROMPT, &listed.join(","));
         server.crash();
         wait_until_down(&server).await?;
-        ensure_not_executed(&house.call(&call("down")).await?)?;
-        ensure!(lacking()? > 0.0, "counts as sent over no connection");
+        ensure_not_executed(&harness.call(&call("down")).await?)?;
+        ensure!(
+            missing_tokens()? > 0.0,
+            "counts as sent without a connection"
+        );
         let again = Server::start_at(server.address(), server.settings().clone())?;
         wait_until("back", async || {
-            Ok(house.call(&call("back")).await?.status == 200)
+            Ok(harness.call(&call("back")).await?.status == 200)
         })
         .await?;
         ensure!(again.runs().len() == 1, "{:?}", again.runs());
-        ensure!(lacking()? == 0.0, "does not count as sent");
+        ensure!(missing_tokens()? == 0.0, "does not count as sent");
         Ok(())
     })
 }
--- a/crates/relay/tests/relay/stop.rs
+++ b/crates/relay/tests/relay/stop.rs
@@ -1,4 +1,4 @@
-//! The planned stop, changed settings and the process's own pages.
+//! The graceful shutdown, reloaded settings, and the readiness and metrics endpoints.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -22,25 +22,25 @@
 };
 use crate::process::Process;
 
-/// How long a stopping router takes new connections: the balancer needs three
-/// seconds at most, of which a margin is left for the way.
-const TAKES_TIME: Duration = Duration::from_millis(2_900);
-/// Where a box that is a process says whether it is ready.
+/// How long a router that shuts down accepts new connections: the balancer needs at
+/// most three seconds, less a margin for the transit time.
+const ACCEPT_TIME: Duration = Duration::from_millis(2_900);
+/// Port of the readiness endpoint of a box that runs as a process.
 const READY_PORT: u16 = 20_704;
 
 #[test]
-fn a_planned_stop_loses_nothing() -> Result {
+fn a_graceful_shutdown_loses_no_requests() -> Result {
     run(async |executor| {
         let site = site()?;
         let slow = site.server(Settings {
             work: ms(3_600),
             ..server_settings(1)
         })?;
-        let house = Harness::start_with_settings(executor, site, |settings| {
+        let harness = Harness::start_with_settings(executor, site, |settings| {
             settings["bounds"]["stop_within"] = 8_000.into();
         })
         .await?;
-        let mut kept = Client::open(house.router_address()).await?;
+        let mut kept = Client::open(harness.router_address()).await?;
         let call = post("/o/x", "running");
         let start = Instant::now();
         let running = async {
@@ -51,83 +51,86 @@
         };
         let stop = async {
             Timer::after(ms(150)).await;
-            let told = Instant::now();
-            house.router.stop().await;
-            Ok(told.elapsed())
+            let signalled = Instant::now();
+            harness.router.stop().await;
+            Ok(signalled.elapsed())
         };
         let new = async {
             Timer::after(ms(250)).await;
-            ensure!(!house.is_ready().await, "ready while it stops");
-            // The other server answers at once; it came after the slow one.
-            let quick = house.site.server(server_settings(2))?;
-            house.site.withdraw(&slow);
+            ensure!(!harness.is_ready().await, "ready during the shutdown");
+            // The other server, started after the slow one, answers at once.
+            let quick = harness.site.server(server_settings(2))?;
+            harness.site.withdraw(&slow);
             wait_until("known", async || {
-                let ids = house.router.relay().fleet.ids();
+                let ids = harness.router.relay().fleet.ids();
                 Ok(ids.iter().any(|id| id.as_str() == "i-2") && ids.len() == 1)
             })
             .await?;
             let mut number = 0;
-            while start.elapsed() < ms(150) + TAKES_TIME - ms(60) {
+            while start.elapsed() < ms(150) + ACCEPT_TIME - ms(60) {
                 number += 1;
                 let attempt = format!("new-{number}");
-                let answer = house.post("/o/x", &attempt).await?;
+                let answer = harness.post("/o/x", &attempt).await?;
                 ensure_served_by(&answer, &[&quick], &attempt)?;
                 ensure!(answer.field("Connection") == Some("close"), "{answer:?}");
-                ensure!(!house.is_ready().await, "ready while it stops");
+                ensure!(!harness.is_ready().await, "ready during the shutdown");
                 Timer::after(ms(20)).await;
             }
-            ensure!(number > 3, "the case did not arise");
+            ensure!(number > 3, "the test did not reach its case");
             Ok(())
         };
         let both = future::try_zip(running, new);
         let (stopped, _) = future::try_zip(stop, both).await?;
-        ensure!(stopped > TAKES_TIME, "gone after {stopped:?}");
-        // The slow request began before the stop.
-        ensure!(stopped > ms(3_300), "gone after {stopped:?}");
-        ensure!(stopped < ms(6_000), "gone after {stopped:?}");
+        ensure!(stopped > ACCEPT_TIME, "stopped after {stopped:?}");
+        // The slow request began before the shutdown.
+        ensure!(stopped > ms(3_300), "stopped after {stopped:?}");
+        ensure!(stopped < ms(6_000), "stopped after {stopped:?}");
         Ok(())
     })
 }
 
 #[test]
-fn a_stop_finishes_streams() -> Result {
+fn a_shutdown_finishes_streams() -> Result {
     run(async |executor| {
         let site = site()?;
         let server = site.server(stream_server_settings(1, 40, ms(90)))?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         let stop = async {
             Timer::after(ms(200)).await;
-            house.router.stop().await;
-            ensure!(server.running() == 0, "gone before the stream's end");
+            harness.router.stop().await;
+            ensure!(
+                server.running() == 0,
+                "stopped before the end of the stream"
+            );
             Ok(())
         };
         let call = post("/u/x", "stream");
-        let (answer, ()) = future::try_zip(house.call(&call), stop).await?;
+        let (answer, ()) = future::try_zip(harness.call(&call), stop).await?;
         ensure_served_by(&answer, &[&server], "stream")
     })
 }
 
 #[test]
-fn a_stop_ends_before_its_limit() -> Result {
+fn a_shutdown_ends_before_its_limit() -> Result {
     run(async |executor| {
         let site = site()?;
         let server = site.server(server_settings(1))?;
         let limit = ms(3_800);
-        let house = Harness::start_with_settings(executor, site, |settings| {
+        let harness = Harness::start_with_settings(executor, site, |settings| {
             settings["bounds"]["stop_within"] = (limit.as_millis() as u64).into();
         })
         .await?;
         server.fault(Fault::Hang, u32::MAX);
         let call = post("/o/x", "hangs").with(names::DEADLINE, "9000");
         let hangs = async {
-            house.call(&call).await?;
+            harness.call(&call).await?;
             Err::<Duration, _>(eyre!("answered"))
         };
         let stop = async {
             Timer::after(ms(150)).await;
-            let told = Instant::now();
-            house.router.stop().await;
-            Ok(told.elapsed())
+            let signalled = Instant::now();
+            harness.router.stop().await;
+            Ok(signalled.elapsed())
         };
         let stopped = future::or(stop, hangs).await?;
         ensure!(stopped < limit, "{stopped:?}");
@@ -136,20 +139,20 @@
 }
 
 #[test]
-fn the_metrics_are_told() -> Result {
+fn the_metrics_endpoint_serves_metrics() -> Result {
     run(async |executor| {
         let site = site()?;
         let server = site.server(server_settings(1))?;
-        let house = Harness::start_with_settings(executor, site, |settings| {
+        let harness = Harness::start_with_settings(executor, site, |settings| {
             settings["metrics"] = "127.0.0.1:0".into();
         })
         .await?;
-        ensure_served_by(&house.post("/r/x", "one").await?, &[&server], "one")?;
-        house.post("/nowhere/x", "two").await?;
-        let address = house
+        ensure_served_by(&harness.post("/r/x", "one").await?, &[&server], "one")?;
+        harness.post("/nowhere/x", "two").await?;
+        let address = harness
             .router
             .metrics_address()
-            .ok_or_else(|| eyre!("no page"))?;
+            .ok_or_else(|| eyre!("no address"))?;
         let page = Client::once(address, &Call::new("GET", HOST, "/metrics", "m")).await?;
         ensure!(page.status == 200 && page.complete, "{page:?}");
         let text = String::from_utf8(page.body)?;
@@ -163,13 +166,13 @@
 }
 
 #[test]
-fn readiness_is_told() -> Result {
+fn the_readiness_endpoint_serves_only_its_path() -> Result {
     run(async |executor| {
-        let (_server, house) = start_with_one_server(executor).await?;
-        let address = house
+        let (_server, harness) = start_with_one_server(executor).await?;
+        let address = harness
             .router
             .readiness_address()
-            .ok_or_else(|| eyre!("no page"))?;
+            .ok_or_else(|| eyre!("no address"))?;
         let mut client = Client::open(address).await?;
         for (method, path, status) in [
             ("GET", "/-/readyz", 200),
@@ -184,9 +187,9 @@
     })
 }
 
-/// A router process at an address that no other test has. A port that was free a
-/// moment ago is no such address: another test may bind it before the process does,
-/// which then ends at once.
+/// Starts a router process at an address that no other test uses. A port that was free
+/// a moment ago does not suffice: another test may bind it before the process does,
+/// and the process would then exit at once.
 fn process(name: &str, mut settings: Value) -> Result<Process> {
     let ip = box_harness::address().ip();
     settings["callers"] = SocketAddr::new(ip, box_harness::FRONT_PORT)
@@ -198,10 +201,10 @@
 }
 
 /// Waits until a process serves.
-async fn serving(process: &mut Process) -> Result {
+async fn wait_until_serving(process: &mut Process) -> Result {
     wait_until("serving", async || {
-        let ended = process.ended()?;
-        ensure!(ended.is_none(), "it ended by itself: {ended:?}");
+        let ended = process.exit_status()?;
+        ensure!(ended.is_none(), "the process exited by itself: {ended:?}");
         Ok(status(process, "first").await == 200)
     })
     .await
@@ -211,9 +214,9 @@
     process.call(&post("/r/x", attempt)).await
 }
 
-/// Changes the settings file of a process from no retries to many; `tell` says
-/// so, or not.
-async fn reloaded(name: &str, tell: impl FnOnce(&Process) -> Result) -> Result {
+/// Changes the settings file of a process from no retries to many and checks that the
+/// change is applied; `signal` may signal the process.
+async fn check_reload(name: &str, signal: impl FnOnce(&Process) -> Result) -> Result {
     let site = site()?;
     let near = site.server(server_settings(1))?;
     let far = site.server(server_settings(2))?;
@@ -221,11 +224,11 @@
     settings["bounds"]["retry_share"] = 0.into();
     settings["bounds"]["retry_extra"] = 0.into();
     let mut process = process(name, settings.clone())?;
-    serving(&mut process).await?;
+    wait_until_serving(&mut process).await?;
     near.fault(Fault::Failure, u32::MAX);
     far.fault(Fault::Failure, u32::MAX);
     let mut number = 0;
-    let mut sendings = async || {
+    let mut attempts = async || {
         number += 1;
         let attempt = format!("second-{number}");
         let status = status(&process, &attempt).await;
@@ -233,59 +236,59 @@
         Ok(count_deliveries(&[&near, &far], &attempt))
     };
     for _ in 0..5 {
-        ensure!(sendings().await? == 1, "retried without an allowance");
+        ensure!(attempts().await? == 1, "retried without an allowance");
     }
     settings["bounds"]["retry_extra"] = 2_400.into();
     settings["callers"] = process.front.to_string().into();
-    // In one step, so that no half of it is ever read.
+    // Replaced atomically, so that the process never reads a partial file.
     let fresh = process.file.with_extension("new");
     fs::write(&fresh, settings.to_string())?;
     fs::rename(&fresh, &process.file)?;
-    tell(&process)?;
-    wait_until("retried", async || Ok(sendings().await? == 2)).await?;
-    // Spoiled settings change nothing.
+    signal(&process)?;
+    wait_until("retried", async || Ok(attempts().await? == 2)).await?;
+    // Invalid settings change nothing.
     fs::write(&process.file, "{")?;
     process.signal("-HUP")?;
     Timer::after(ms(200)).await;
-    ensure!(sendings().await? == 2, "the settings were dropped");
+    ensure!(attempts().await? == 2, "the previous settings were lost");
     Ok(())
 }
 
 #[test]
-fn changed_settings_are_taken_over_on_a_signal() -> Result {
-    run(async |_| reloaded("signal", |process| process.signal("-HUP")).await)
+fn changed_settings_are_applied_on_a_signal() -> Result {
+    run(async |_| check_reload("signal", |process| process.signal("-HUP")).await)
 }
 
 #[test]
-fn changed_settings_are_taken_over_without_a_signal() -> Result {
-    run(async |_| reloaded("look", |_| Ok(())).await)
+fn changed_settings_are_applied_without_a_signal() -> Result {
+    run(async |_| check_reload("look", |_| Ok(())).await)
 }
 
 #[test]
-fn a_process_told_to_stop_ends_well() -> Result {
+fn a_process_exits_successfully_on_sigterm() -> Result {
     run(async |_| {
         let site = site()?;
         let _server = site.server(server_settings(1))?;
         let mut process = process("stop", harness::settings(&site))?;
-        serving(&mut process).await?;
-        let told = Instant::now();
+        wait_until_serving(&mut process).await?;
+        let signalled = Instant::now();
         process.signal("-TERM")?;
         Timer::after(ms(2_000)).await;
-        ensure!(status(&process, "late").await == 200, "gone too early");
+        ensure!(status(&process, "late").await == 200, "stopped too early");
         let mut status = None;
         wait_until("ended", async || {
-            status = process.ended()?;
+            status = process.exit_status()?;
             Ok(status.is_some())
         })
         .await?;
         ensure!(status.is_some_and(|status| status.success()), "{status:?}");
-        ensure!(told.elapsed() < ms(6_000), "{:?}", told.elapsed());
+        ensure!(signalled.elapsed() < ms(6_000), "{:?}", signalled.elapsed());
         Ok(())
     })
 }
 
 #[test]
-fn a_changed_time_to_stop_is_taken_over() -> Result {
+fn a_changed_stop_time_is_applied() -> Result {
     run(async |_| {
         let site = site()?;
         let server = site.server(server_settings(1))?;
@@ -297,7 +300,7 @@
         };
         site.declare(&[long]);
         let mut process = process("time", settings.clone())?;
-        serving(&mut process).await?;
+        wait_until_serving(&mut process).await?;
         settings["bounds"]["stop_within"] = 4_000.into();
         settings["callers"] = process.front.to_string().into();
         let fresh = process.file.with_extension("new");
@@ -317,10 +320,10 @@
                 Ok(count_deliveries(&[&server], "hangs") == 1)
             })
             .await?;
-            let told = Instant::now();
+            let signalled = Instant::now();
             process.signal("-TERM")?;
-            wait_until("ended", async || Ok(process.ended()?.is_some())).await?;
-            ensure!(told.elapsed() < ms(5_500), "{:?}", told.elapsed());
+            wait_until("ended", async || Ok(process.exit_status()?.is_some())).await?;
+            ensure!(signalled.elapsed() < ms(5_500), "{:?}", signalled.elapsed());
             Ok(())
         };
         future::or(stopped, hangs).await
--- a/crates/relay/tests/relay/streams.rs
+++ b/crates/relay/tests/relay/streams.rs
@@ -1,4 +1,4 @@
-//! Streams go on where they broke off, or end visibly incomplete.
+//! Broken streams are resumed where they broke off, or end visibly incomplete.
 
 use eyre::ensure;
 use smol::Timer;
@@ -11,8 +11,8 @@
     wait_until, Harness, Result,
 };
 
-/// Checks a whole stream that one server began and another ended.
-fn resumed(answer: &Answer, first: &Server, second: &Server, attempt: &str) -> Result {
+/// Checks a complete stream that one server began and another finished.
+fn ensure_resumed(answer: &Answer, first: &Server, second: &Server, attempt: &str) -> Result {
     ensure!(answer.complete && answer.status == 200, "{answer:?}");
     ensure!(answer.body == stream_body(1..=8), "{:?}", answer.ids());
     let begun = first.runs();
@@ -32,15 +32,15 @@
 }
 
 #[test]
-fn a_stream_cut_within_an_event_goes_on_at_another_server() -> Result {
+fn a_stream_cut_within_an_event_is_resumed_at_another_server() -> Result {
     run(async |executor| {
         let site = site()?;
         let near = site.server(stream_server_settings(1, 8, ms(10)))?;
         let far = site.server(stream_server_settings(2, 8, ms(10)))?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         near.fault(Fault::CutEvent, 1);
-        let answer = house.post("/s/x", "cut").await?;
-        resumed(&answer, &near, &far, "cut")?;
+        let answer = harness.post("/s/x", "cut").await?;
+        ensure_resumed(&answer, &near, &far, "cut")?;
         ensure!(
             count_deliveries(&[&near, &far], "cut") == 2,
             "sent too often"
@@ -50,77 +50,77 @@
 }
 
 #[test]
-fn a_stream_broken_between_events_goes_on_at_another_server() -> Result {
+fn a_stream_broken_between_events_is_resumed_at_another_server() -> Result {
     run(async |executor| {
         let site = site()?;
         let near = site.server(stream_server_settings(1, 8, ms(10)))?;
         let far = site.server(stream_server_settings(2, 8, ms(10)))?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         near.fault(Fault::BreakOff, 1);
-        let answer = house.post("/s/x", "broken").await?;
-        resumed(&answer, &near, &far, "broken")
+        let answer = harness.post("/s/x", "broken").await?;
+        ensure_resumed(&answer, &near, &far, "broken")
     })
 }
 
 #[test]
-fn a_stream_of_a_crashed_server_goes_on_at_another() -> Result {
+fn a_stream_of_a_crashed_server_is_resumed_at_another() -> Result {
     run(async |executor| {
         let site = site()?;
         let near = site.server(stream_server_settings(1, 8, ms(60)))?;
         let far = site.server(stream_server_settings(2, 8, ms(10)))?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         let crash = async {
             Timer::after(ms(200)).await;
             near.crash();
             Ok(())
         };
         let call = post("/s/x", "crash");
-        let (answer, _) = futures_lite::future::try_zip(house.call(&call), crash).await?;
+        let (answer, _) = futures_lite::future::try_zip(harness.call(&call), crash).await?;
         ensure!(answer.complete, "{answer:?}");
         ensure!(answer.body == stream_body(1..=8), "{:?}", answer.ids());
-        ensure!(far.ran("crash") == 1, "the other server was not asked");
+        ensure!(far.ran("crash") == 1, "the other server was not reached");
         Ok(())
     })
 }
 
 #[test]
-fn a_stream_that_falls_silent_goes_on_at_another_server() -> Result {
+fn a_stalled_stream_is_resumed_at_another_server() -> Result {
     run(async |executor| {
         let site = site()?;
         let near = site.server(stream_server_settings(1, 8, ms(50)))?;
         let far = site.server(stream_server_settings(2, 8, ms(10)))?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         let silence = async {
             Timer::after(ms(200)).await;
             near.dark(true);
             Ok(())
         };
         let call = post("/s/x", "silent");
-        let (answer, _) = futures_lite::future::try_zip(house.call(&call), silence).await?;
+        let (answer, _) = futures_lite::future::try_zip(harness.call(&call), silence).await?;
         ensure!(answer.complete, "{answer:?}");
         ensure!(answer.body == stream_body(1..=8), "{:?}", answer.ids());
-        ensure!(far.ran("silent") == 1, "the other server was not asked");
+        ensure!(far.ran("silent") == 1, "the other server was not reached");
         near.dark(false);
         Ok(())
     })
 }
 
 #[test]
-fn a_client_that_resumes_gets_what_follows() -> Result {
+fn a_client_that_resumes_gets_the_following_events() -> Result {
     run(async |executor| {
         let site = site()?;
         let near = site.server(stream_server_settings(1, 8, ms(10)))?;
         let far = site.server(stream_server_settings(2, 8, ms(10)))?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         let call = post("/s/x", "whole").with(names::LAST_EVENT, "3");
-        let answer = house.call(&call).await?;
+        let answer = harness.call(&call).await?;
         ensure!(answer.complete, "{answer:?}");
         ensure!(answer.body == stream_body(4..=8), "{:?}", answer.ids());
         near.fault(Fault::CutEvent, 1);
         far.fault(Fault::CutEvent, 1);
         let call = post("/s/x", "cut").with(names::LAST_EVENT, "3");
-        let answer = house.call(&call).await?;
-        // Two servers are the most on this route, and both cut it.
+        let answer = harness.call(&call).await?;
+        // This route allows two attempts, and both servers cut the stream.
         ensure!(!answer.complete, "{answer:?}");
         let ids = answer.ids();
         let last = 3 + ids.len() as u64;
@@ -138,12 +138,12 @@
         let site = site()?;
         let near = site.server(stream_server_settings(1, 8, ms(10)))?;
         let far = site.server(stream_server_settings(2, 8, ms(10)))?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         for fault in [Fault::CutEvent, Fault::BreakOff] {
             near.fault(fault, 1);
             far.fault(fault, 1);
             let attempt = format!("{fault:?}");
-            let answer = house.post("/u/x", &attempt).await?;
+            let answer = harness.post("/u/x", &attempt).await?;
             ensure!(!answer.complete, "{answer:?}");
             ensure!(matches!(answer.end, End::Closed | End::Reset), "{answer:?}");
             let last = answer.ids().len() as u64;
@@ -159,14 +159,14 @@
 }
 
 #[test]
-fn events_are_passed_on_as_they_come() -> Result {
+fn events_are_forwarded_as_they_arrive() -> Result {
     run(async |executor| {
         let site = site()?;
         let server = site.server(stream_server_settings(1, 5, ms(150)))?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         let mut late = Vec::new();
         for target in ["/s/x", "/u/x"] {
-            let answer = house.post(target, target).await?;
+            let answer = harness.post(target, target).await?;
             ensure_served_by(&answer, &[&server], target)?;
             let first = answer.first_event().expect("an event");
             let last = answer.events.last().expect("an event").after;
@@ -179,18 +179,21 @@
 }
 
 #[test]
-fn a_client_that_leaves_a_stream_ends_it_at_the_server() -> Result {
+fn a_client_disconnect_ends_its_stream_at_the_server() -> Result {
     run(async |executor| {
         let site = site()?;
         let server = site.server(stream_server_settings(1, 400, ms(50)))?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         for target in ["/s/x", "/u/x"] {
             let call = post(target, target).leaving(ms(200));
-            let answer = house.call(&call).await?;
+            let answer = harness.call(&call).await?;
             ensure!(answer.end == End::Left, "{answer:?}");
             wait_until("left", async || Ok(server.running() == 0)).await?;
         }
-        ensure!(server.runs().len() == 2, "sent again for nobody");
+        ensure!(
+            server.runs().len() == 2,
+            "sent again after the client had disconnected"
+        );
         Ok(())
     })
 }
@@ -201,15 +204,15 @@
         let site = site()?;
         let near = site.server(stream_server_settings(1, 8, ms(10)))?;
         let far = site.server(stream_server_settings(2, 8, ms(10)))?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         near.fault(Fault::CutEvent, 1);
         far.fault(Fault::Failure, 1);
-        let answer = house.post("/s/x", "cut").await?;
+        let answer = harness.post("/s/x", "cut").await?;
         ensure!(!answer.complete, "{answer:?}");
-        ensure!(far.ran("cut") == 1, "the other server was not asked");
+        ensure!(far.ran("cut") == 1, "the other server was not reached");
         for server in [&near, &far] {
             let id = server.settings().id.parse()?;
-            let backend = house.router.relay().fleet.get(&id);
+            let backend = harness.router.relay().fleet.get(&id);
             let failing =
                 backend.map(|backend| backend.health.failure_rate(tidepier_clock::Instant::now()));
             ensure!(failing > Some(0.0), "{id}: {failing:?}");
