--- a/crates/relay/src/exchange/retry.rs
+++ b/crates/relay/src/exchange/retry.rs
@@ -19,15 +19,15 @@
 
 /// Remaining time below which a request is not sent again.
 const RETRY_TIME_MIN: Duration = Duration::from_millis(30);
-/// Absent servers after which a request is refused, if no untried server looks usable
+/// Absent servers after which a request is refused, if no untried server looks healthy
 /// to this box or if detecting the last absence took longer than a round trip.
 const ABSENT_MAX: u32 = 4;
-/// The same while an untried server looks usable and the last absence was detected
+/// The same while an untried server looks healthy and the last absence was detected
 /// within a round trip. A refused connection costs one round trip, far less than a
 /// client needs to come back after a refusal. When two thirds of 90 servers were gone
 /// and no box knew it, 78 boxes that stopped after four absent servers refused 138 in
 /// 1,000 requests.
-const ABSENT_USABLE_MAX: u32 = 12;
+const ABSENT_HEALTHY_MAX: u32 = 12;
 
 impl Exchange<'_> {
     /// Decides by the head of an answer whether it is forwarded.
@@ -120,7 +120,7 @@
             .iter()
             .filter(|it| !self.tried.contains(&it.server.id));
         let may_find_one = at_once && untried.any(|it| it.is_healthy(now));
-        may_find_one && self.absent_count < ABSENT_USABLE_MAX
+        may_find_one && self.absent_count < ABSENT_HEALTHY_MAX
     }
 
     /// Counts the last server as absent instead of as one that got the request.
--- a/crates/relay/src/exchange/state.rs
+++ b/crates/relay/src/exchange/state.rs
@@ -50,7 +50,7 @@
     pub(super) service: ids::Service,
     /// Most connections of this box to one server.
     pub(super) connections: u32,
-    /// Rate of requests that a server admits while it is cold.
+    /// How long a server is cold after its start, and the rate of requests it admits then.
     pub(super) cold: Option<Cold>,
     /// Time in ms to copy the KV cache of a token between engines; `None` if the
     /// engines of the service cannot copy.
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -156,8 +156,8 @@
     /// than the store, and does not shut down.
     pub fn is_ready(&self) -> bool {
         let informed = self.view.catalog().is_some() && !self.fleet.is_empty();
-        let trusted = self.bounds().key_max_age;
-        let trusted = trusted.is_none_or(|most| self.view.is_fresh(most));
+        let key_max_age = self.bounds().key_max_age;
+        let trusted = key_max_age.is_none_or(|max_age| self.view.is_fresh(max_age));
         informed && trusted && self.standing.may_begin() && self.stop.phase() == Phase::Serving
     }
 
@@ -198,9 +198,16 @@
     }
 
     /// Merges a peer's report on its own requests and on those that it knows of.
-    pub fn merge_traffic(&self, from: Peer, sum: Totals, rows: &[Placement], untold: u32) {
+    pub fn merge_traffic(
+        &self,
+        from: Peer,
+        totals: Totals,
+        placements: &[Placement],
+        omitted: u32,
+    ) {
         let now = Instant::now();
-        self.traffic.merge_report(from, sum, rows, untold, now);
+        self.traffic
+            .merge_report(from, totals, placements, omitted, now);
         let others = self.traffic.others(None, now);
         self.fleet
             .set_peer_in_flight(&others.requests, others.boxes, now);
@@ -217,8 +224,8 @@
             // A list of another era is taken only together with the peer's other
             // entries of that era, elsewhere.
             if Some(list.era()) == self.standing.era() {
-                let hold = self.standing.hold(self.bounds().rewrite_within, now);
-                self.rollouts.merge(list, hold, now);
+                let precedence = self.standing.hold(self.bounds().rewrite_within, now);
+                self.rollouts.merge(list, precedence, now);
             }
         }
     }
@@ -237,12 +244,12 @@
         target: &Release,
         now: Instant,
     ) -> u32 {
-        let sum = self.with_own(self.traffic.others(None, now));
+        let totals = self.with_own(self.traffic.others(None, now));
         let servers = self.fleet.known(service);
         let others = servers
             .iter()
             .filter(|it| it.server.release.as_ref() != Some(target));
-        let running = others.filter_map(|it| sum.requests.get(&it.key));
+        let running = others.filter_map(|it| totals.requests.get(&it.key));
         running.sum()
     }
 
@@ -251,16 +258,16 @@
         self.with_own(self.traffic.members(now))
     }
 
-    /// Requests in flight from all boxes known to this one, except `but`.
+    /// Requests in flight from all boxes known to this one, except `except`.
     pub fn in_flight_excluding(&self, except: &Peer, now: Instant) -> Totals {
         self.with_own(self.traffic.others(Some(except), now))
     }
 
-    fn with_own(&self, mut sum: Totals) -> Totals {
-        sum.add(&Totals {
+    fn with_own(&self, mut totals: Totals) -> Totals {
+        totals.add(&Totals {
             boxes: 1,
             requests: self.fleet.running(),
         });
-        sum
+        totals
     }
 }
