--- a/crates/router/src/once.rs
+++ b/crates/router/src/at_most_once.rs
@@ -1,5 +1,6 @@
-//! Requests that may run at most once: claimed before they are sent, sent
-//! once, answered again from the first answer where it is still to be had.
+//! Requests that may be executed at most once. A claim is recorded before the
+//! request is sent, and it is sent once. Later arrivals with the same
+//! idempotency key get the first answer, if it is still kept.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -19,40 +20,44 @@
 use crate::node::Node;
 use crate::trace::Hop;
 
-/// Largest kept answer in bytes.
-const ANSWER_BYTES: usize = 64 << 10;
-/// Time that the page's keeper has to answer before this box writes itself.
-const KEEPER_TIME: Duration = Duration::from_secs(1);
-/// Time that a peer has to tell the fate of a request.
-const FATE_TIME: Duration = Duration::from_secs(1);
-/// Time between looks at a request that still runs.
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
+/// Largest answer that is kept, in bytes.
+const ANSWER_BYTES_MAX: usize = 64 << 10;
+/// Time that the page's keeper has to answer before this box records the claim
+/// in the store itself.
+const KEEPER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time that a peer has to report the fate of a request.
+const FATE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time between two checks of a request that still runs.
+const FATE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a caller wants to run at most once.
-pub(crate) struct Marked {
-    /// The idempotency key; without one, only this arrival is sent once.
+/// The client's terms for a request that may be executed at most once.
+pub(crate) struct Options {
+    /// The idempotency key. Without one, this arrival is sent once, but a
+    /// repeated request is not recognised.
     pub(crate) idempotency: Option<String>,
 }
 
-/// One arrival of a marked request.
+/// One arrival of an at-most-once request.
 pub(crate) struct Arrival<'a> {
     pub(crate) id: ids::Request,
     pub(crate) account: &'a ids::Account,
     pub(crate) deadline: Deadline,
-    /// What is asked for; the same key may be used for each target.
+    /// The model or service path that the request is for. Keys are separate for
+    /// each target.
     pub(crate) target: &'a str,
     pub(crate) body: &'a [u8],
 }
 
-/// How a marked request goes on.
-pub(crate) enum Entry {
-    /// It may be sent, once.
+/// The result of [`enter`].
+pub(crate) enum Outcome {
+    /// The request may be sent once.
     Permit(Permit),
-    /// An earlier arrival's answer.
+    /// The answer of an earlier arrival.
     Answered(Kept),
 }
 
-/// The right to send a request once. Dropped before it is sent, it is given up.
+/// The right to send a request once. If it is dropped before the request is
+/// sent, the claim is abandoned.
 pub(crate) struct Permit {
     node: Arc<Node>,
     claim: ids::Request,
@@ -60,8 +65,8 @@
 }
 
 impl Permit {
-    /// A permit that still has to be claimed. Its fate is known from the start:
-    /// another arrival may ask for it as soon as the claim is in the store.
+    /// A permit whose claim is not recorded yet. Its fate is set from the start,
+    /// as another arrival may request it as soon as the claim is in the store.
     fn new(node: &Arc<Node>) -> Self {
         let claim = ids::Request::random();
         node.fates.set(claim, Fate::Runs);
@@ -72,22 +77,24 @@
         }
     }
 
-    /// Notes that it is about to be sent.
-    pub(crate) fn sending(&self) {
-        self.settle(Fate::Unknown);
+    /// Records that the request is about to be sent; it may be executed from now
+    /// on.
+    pub(crate) fn mark_sent(&self) {
+        self.set_fate(Fate::Unknown);
     }
 
-    /// Notes a refusal; one that proves that nothing ran frees the key.
-    pub(crate) fn refused(self, fault: &Fault) {
+    /// Records a refusal. One that proves that the request was not executed
+    /// frees the key.
+    pub(crate) fn record_refusal(self, fault: &Fault) {
         if fault.kind.answer().ran == Ran::No {
-            self.settle(Fate::Abandoned);
+            self.set_fate(Fate::Abandoned);
         }
     }
 
-    /// Keeps the answer.
-    pub(crate) fn done(self, status: u16, mime: &str, body: &[u8]) {
-        if body.len() <= ANSWER_BYTES {
-            self.settle(Fate::Done(Kept {
+    /// Keeps the answer for later arrivals, unless it is too large.
+    pub(crate) fn keep_answer(self, status: u16, mime: &str, body: &[u8]) {
+        if body.len() <= ANSWER_BYTES_MAX {
+            self.set_fate(Fate::Done(Kept {
                 status,
                 mime: mime.to_string(),
                 body: body.to_vec(),
@@ -95,10 +102,10 @@
         }
     }
 
-    /// Notes that the answer was streamed, and so is not kept.
+    /// Ends the permit of a streamed answer, which is not kept.
     pub(crate) fn streamed(self) {}
 
-    fn settle(&self, fate: Fate) {
+    fn set_fate(&self, fate: Fate) {
         *self.state.lock().unwrap_or_else(|e| e.into_inner()) = fate;
     }
 }
@@ -110,26 +117,27 @@
     }
 }
 
-/// Claims a marked request, or finds the answer of an earlier arrival.
+/// Claims an at-most-once request, or finds the answer of an earlier arrival.
 ///
 /// # Errors
 ///
-/// [`Kind::NoClaim`] when nothing could be recorded, [`Kind::Duplicate`] when
-/// an earlier arrival's answer is not to be had, [`Kind::KeyReused`] when the
-/// key belongs to another body.
+/// [`Kind::NoClaim`] when no claim could be recorded, [`Kind::Duplicate`] when
+/// the answer of an earlier arrival is not available, [`Kind::KeyReused`] when
+/// the key was used with another body.
 pub(crate) async fn enter(
     node: &Arc<Node>,
     arrival: &Arrival<'_>,
-    marked: &Marked,
-) -> Result<Entry, Fault> {
-    let Some(idempotency) = &marked.idempotency else {
-        return Ok(Entry::Permit(Permit::new(node)));
+    options: &Options,
+) -> Result<Outcome, Fault> {
+    let Some(idempotency) = &options.idempotency else {
+        return Ok(Outcome::Permit(Permit::new(node)));
     };
     let key = Key::new(arrival.account, arrival.target, idempotency);
     let digest = ids::Digest::of(arrival.body);
     let mut over = None;
     loop {
-        // Dropped on every way out but one, which gives the claim up.
+        // Every exit but the one that returns the permit drops it, which
+        // abandons the claim.
         let permit = Permit::new(node);
         let claim = claim(node, &key, permit.claim, digest, over);
         let claimed = arrival.deadline.bound(Kind::NoClaim, claim).await?;
@@ -137,7 +145,7 @@
             Claimed::Yes => {
                 let note = format!("claimed {key}");
                 node.ring.note(node.name(), arrival.id, Hop::Store, note);
-                return Ok(Entry::Permit(permit));
+                return Ok(Outcome::Permit(permit));
             }
             Claimed::Failed(why) => {
                 let fault = Fault::new(Kind::NoClaim, why).after(Duration::from_secs(2));
@@ -151,7 +159,7 @@
         }
         let waiting = fate(node, &holder);
         match arrival.deadline.bound(Kind::Duplicate, waiting).await? {
-            Fate::Done(kept) => return Ok(Entry::Answered(kept)),
+            Fate::Done(kept) => return Ok(Outcome::Answered(kept)),
             Fate::Abandoned => over = Some(holder.request),
             Fate::Runs | Fate::Unknown => {
                 metrics::counter!("tidepier_duplicates_unanswered_total").increment(1);
@@ -165,7 +173,8 @@
     }
 }
 
-/// Records a claim through the page's keeper, or else directly.
+/// Records a claim through the page's keeper, or directly in the store if the
+/// keeper does not answer.
 async fn claim(
     node: &Arc<Node>,
     key: &Key,
@@ -180,14 +189,15 @@
         body,
         over,
     };
-    if let Some(claimed) = through_keeper(node, key, &wish).await {
+    if let Some(claimed) = claim_through_keeper(node, key, &wish).await {
         return Ok(claimed);
     }
     Ok(record(node, node.name(), key, &wish).await)
 }
 
-/// Which box writes a page is a hint: it only saves lost races.
-async fn through_keeper(node: &Arc<Node>, key: &Key, wish: &Wish) -> Option<Claimed> {
+/// Records a claim through the box that usually writes its page of claims. Any
+/// box may write any page; a single writer only avoids lost compare-and-swaps.
+async fn claim_through_keeper(node: &Arc<Node>, key: &Key, wish: &Wish) -> Option<Claimed> {
     let page = key.page(PAGES);
     let keeper = {
         let table = node.table();
@@ -206,13 +216,14 @@
         let answered = answer.recv().await.ok();
         node.links.forget(number);
         match answered? {
-            // A keeper that cannot reach the store may be cut off alone.
+            // Only the keeper may be partitioned from the store: this box then
+            // tries itself.
             Answer::Claimed(Claimed::Failed(_)) => None,
             Answer::Claimed(claimed) => Some(claimed),
             _ => None,
         }
     };
-    within(KEEPER_TIME, asking).await.flatten()
+    within(KEEPER_TIMEOUT, asking).await.flatten()
 }
 
 async fn record(node: &Arc<Node>, claimant: &ids::Box, key: &Key, wish: &Wish) -> Claimed {
@@ -233,8 +244,14 @@
     }
 }
 
-/// A peer asks this box to record a claim.
-pub(crate) fn claim_asked(node: &Arc<Node>, number: u64, wish: &Wish, peer: &ids::Box, line: Line) {
+/// Records a claim for a peer.
+pub(crate) fn answer_claim(
+    node: &Arc<Node>,
+    number: u64,
+    wish: &Wish,
+    peer: &ids::Box,
+    line: Line,
+) {
     let Some(key) = Key::from_bytes(&wish.key) else {
         line.send(Frame::Claimed(number, Claimed::Failed("not a key".into())));
         return;
@@ -248,21 +265,21 @@
     });
 }
 
-/// What became of the claim's holder; waits while it runs.
+/// The fate of the request that holds the claim; waits while it runs.
 async fn fate(node: &Arc<Node>, holder: &Holder) -> Result<Fate, Fault> {
     loop {
         let fate = match holder.name == *node.name() {
             true => node.fates.get(holder.request),
-            false => fate_there(node, holder).await,
+            false => ask_fate(node, holder).await,
         };
         if fate != Fate::Runs {
             return Ok(fate);
         }
-        Timer::after(LOOK_AGAIN).await;
+        Timer::after(FATE_INTERVAL).await;
     }
 }
 
-async fn fate_there(node: &Arc<Node>, holder: &Holder) -> Fate {
+async fn ask_fate(node: &Arc<Node>, holder: &Holder) -> Fate {
     let asking = async {
         let line = dial::open(node, &holder.name).await?;
         let number = node.links.number();
@@ -275,13 +292,13 @@
             _ => None,
         }
     };
-    within(FATE_TIME, asking)
+    within(FATE_TIMEOUT, asking)
         .await
         .flatten()
         .unwrap_or(Fate::Unknown)
 }
 
-/// A peer asks for the fate of a claim that this box has made.
-pub(crate) fn fate_asked(node: &Arc<Node>, number: u64, claim: ids::Request, line: &Line) {
+/// Reports the fate of a claim that this box has made to a peer.
+pub(crate) fn answer_fate(node: &Arc<Node>, number: u64, claim: ids::Request, line: &Line) {
     line.send(Frame::Fate(number, node.fates.get(claim)));
 }
--- a/crates/router/src/budget.rs
+++ b/crates/router/src/budget.rs
@@ -1,47 +1,47 @@
-//! A budget for retries: a share of recent successes, so that a fault of many
+//! The retry budget: a share of recent successes, so that a failure of many
 //! engines does not multiply the load on the others.
 
 use std::sync::Mutex;
 
-/// Retries earned by each success.
-const EARNED: f64 = 0.1;
-/// Retries that can be saved up.
-const SAVED: f64 = 50.0;
-/// Retries at hand in a fresh process.
-const START: f64 = 10.0;
+/// Retries that each success adds to the budget.
+const RETRIES_PER_SUCCESS: f64 = 0.1;
+/// Most retries that the budget holds.
+const RETRIES_MAX: f64 = 50.0;
+/// Retries that the budget holds when the process starts.
+const RETRIES_INITIAL: f64 = 10.0;
 
-/// The budget of one router.
+/// The retry budget of one router.
 #[derive(Debug)]
 pub(crate) struct Budget(Mutex<f64>);
 
 impl Default for Budget {
     fn default() -> Self {
-        Self(Mutex::new(START))
+        Self(Mutex::new(RETRIES_INITIAL))
     }
 }
 
 impl Budget {
     /// Counts a success.
-    pub(crate) fn earn(&self) {
+    pub(crate) fn record_success(&self) {
         let mut left = self.0.lock().unwrap_or_else(|e| e.into_inner());
-        *left = (*left + EARNED).min(SAVED);
+        *left = (*left + RETRIES_PER_SUCCESS).min(RETRIES_MAX);
     }
 
-    /// Takes the retry of a request whose engine is gone. The first one of each
-    /// request is not taken from the budget: what it ran on is gone with it, so
-    /// that the engines left get each request of the lost one once more at most,
-    /// through their keeper's bound and queue. The streams of one engine can be
-    /// more than any budget that is saved up.
-    pub(crate) fn move_on(&self, moved: &mut bool) -> bool {
+    /// Takes one retry for a request whose engine is gone. The first such retry
+    /// of each request (`moved` is false) does not count against the budget: the
+    /// lost engine no longer runs the request, so the remaining engines get each
+    /// of its requests at most once more, through their keeper's load bound and
+    /// queue. One engine can have more streams than the budget ever holds.
+    pub(crate) fn take_after_loss(&self, moved: &mut bool) -> bool {
         if std::mem::replace(moved, true) {
-            return self.spend();
+            return self.take();
         }
         metrics::counter!("tidepier_retries_total").increment(1);
         true
     }
 
-    /// Takes one retry, if any is left.
-    pub(crate) fn spend(&self) -> bool {
+    /// Takes one retry; returns whether one was left.
+    pub(crate) fn take(&self) -> bool {
         let mut left = self.0.lock().unwrap_or_else(|e| e.into_inner());
         if *left < 1.0 {
             metrics::counter!("tidepier_retries_denied_total").increment(1);
--- a/crates/router/src/dial.rs
+++ b/crates/router/src/dial.rs
@@ -71,13 +71,13 @@
     match opened {
         Ok(link) => {
             let peer = link.peer.name.clone();
-            members::met(node, &link.peer);
+            members::record_authenticated(node, &link.peer);
             let line = begin(node, link);
-            line.send(Frame::Still(node.held.slots(&peer)));
+            line.send(Frame::Still(node.holdings.slots(&peer)));
             Some((peer, line))
         }
         Err(link::Error::Refused) => {
-            members::gone(node, address);
+            members::record_unreachable(node, address);
             None
         }
         Err(error) => {
@@ -89,7 +89,7 @@
 
 /// Runs a link that a peer dialled.
 pub(crate) fn accepted(node: &Arc<Node>, link: Link) {
-    members::met(node, &link.peer);
+    members::record_authenticated(node, &link.peer);
     let peer = link.peer.name.clone();
     let line = begin(node, link);
     node.links.accept(peer, line);
--- a/crates/router/src/dialect/chat.rs
+++ b/crates/router/src/dialect/chat.rs
@@ -12,6 +12,7 @@
 use tidepier_http::server::Reply;
 use tidepier_ids as ids;
 
+use crate::at_most_once::{self, Permit};
 use crate::dialect::answer::{self, End};
 use crate::dialect::engine::{Engine, PAUSES};
 use crate::dialect::headers;
@@ -20,7 +21,6 @@
 use crate::dialect::request::{Api, Chat};
 use crate::job::Job;
 use crate::node::Node;
-use crate::once::{self, Permit};
 use crate::seal::Ticket;
 use crate::stream::Source;
 use crate::trace::Hop;
@@ -48,9 +48,9 @@
         None => None,
         Some(wish) => {
             let arrival = incoming.arrival(&target, bytes);
-            match once::enter(node, &arrival, wish).await? {
-                once::Entry::Permit(permit) => Some(permit),
-                once::Entry::Answered(kept) => return Ok(answer::replay(kept)),
+            match at_most_once::enter(node, &arrival, wish).await? {
+                at_most_once::Outcome::Permit(permit) => Some(permit),
+                at_most_once::Outcome::Answered(kept) => return Ok(answer::replay(kept)),
             }
         }
     };
@@ -86,14 +86,14 @@
         moved: false,
     };
     if let Some(permit) = &permit {
-        permit.sending();
+        permit.mark_sent();
     }
     let source = Source::open(node.clone(), job).await;
     let source = match source {
         Ok(source) => source,
         Err(fault) => {
             if let Some(permit) = permit {
-                permit.refused(&fault);
+                permit.record_refusal(&fault);
             }
             return Err(fault);
         }
@@ -147,7 +147,7 @@
             Ok(_) => {}
             Err(fault) => {
                 if let Some(permit) = permit {
-                    permit.refused(&fault);
+                    permit.record_refusal(&fault);
                 }
                 return Err(fault);
             }
@@ -155,7 +155,7 @@
     };
     let body = answer::whole(api, model, response, source.text(), &end);
     if let Some(permit) = permit {
-        permit.done(200, "application/json", &body);
+        permit.keep_answer(200, "application/json", &body);
     }
     let mut reply = Reply::text(200, String::new());
     reply.response.set_body(body);
--- a/crates/router/src/dialect/headers.rs
+++ b/crates/router/src/dialect/headers.rs
@@ -5,7 +5,7 @@
 use tidepier_errors::{Fault, Kind};
 use tidepier_http::http_types::Request;
 
-use crate::once::Marked;
+use crate::at_most_once::Options;
 
 /// The header that carries the request id of every answer.
 pub(crate) const REQUEST: &str = "tidepier-request";
@@ -47,7 +47,7 @@
 /// # Errors
 ///
 /// [`Kind::BadRequest`] for a header that cannot be read.
-pub(crate) fn once(request: &Request, declared: bool) -> Result<Option<Marked>, Fault> {
+pub(crate) fn once(request: &Request, declared: bool) -> Result<Option<Options>, Fault> {
     let header = |name: &str| request.header(name).map(|values| values.last().as_str());
     let idempotency = header("idempotency-key").map(str::to_string);
     if idempotency
@@ -66,7 +66,7 @@
         }
     };
     let wanted = marked || declared || idempotency.is_some();
-    Ok(wanted.then_some(Marked { idempotency }))
+    Ok(wanted.then_some(Options { idempotency }))
 }
 
 /// The offset after the last one that the caller has.
--- a/crates/router/src/dialect/incoming.rs
+++ b/crates/router/src/dialect/incoming.rs
@@ -4,8 +4,8 @@
 use tidepier_http::http_types::Request;
 use tidepier_ids as ids;
 
+use crate::at_most_once::Arrival;
 use crate::deadline::Deadline;
-use crate::once::Arrival;
 
 /// A caller's request with all that was found out about it.
 pub(crate) struct Incoming<'a> {
--- a/crates/router/src/dialect/service.rs
+++ b/crates/router/src/dialect/service.rs
@@ -8,10 +8,10 @@
 use tidepier_http::http_types::Method;
 use tidepier_http::server::Reply;
 
+use crate::at_most_once::{self, Permit};
 use crate::dialect::incoming::Incoming;
 use crate::dialect::{answer, headers};
 use crate::node::Node;
-use crate::once::{self, Permit};
 use crate::trace::Hop;
 
 /// Largest answer of a service in bytes.
@@ -54,9 +54,9 @@
     };
     let target = format!("service/{name}/{rest}");
     let arrival = incoming.arrival(&target, &body);
-    let permit = match once::enter(node, &arrival, &marked).await? {
-        once::Entry::Permit(permit) => permit,
-        once::Entry::Answered(kept) => return Ok(answer::replay(kept)),
+    let permit = match at_most_once::enter(node, &arrival, &marked).await? {
+        at_most_once::Outcome::Permit(permit) => permit,
+        at_most_once::Outcome::Answered(kept) => return Ok(answer::replay(kept)),
     };
     single(node, incoming, service, &call.once(), permit).await
 }
@@ -87,15 +87,15 @@
     call: &Call,
     permit: Permit,
 ) -> Result<Reply, Fault> {
-    permit.sending();
+    permit.mark_sent();
     match send(node, incoming, service, call).await {
         Ok(answer) => {
             let mime = answer.header("content-type").unwrap_or("application/json");
-            permit.done(answer.status, mime, &answer.bytes);
+            permit.keep_answer(answer.status, mime, &answer.bytes);
             Ok(reply(answer))
         }
         Err(fault) => {
-            permit.refused(&fault);
+            permit.record_refusal(&fault);
             Err(fault)
         }
     }
@@ -131,7 +131,7 @@
         node.ring.note(node.name(), incoming.id, Hop::Service, note);
         fault = match sent {
             Ok(answer) => {
-                node.retries.earn();
+                node.retries.record_success();
                 return Ok(answer);
             }
             Err(Failure::Unsent(error)) => {
@@ -148,7 +148,7 @@
                 fault
             }
         };
-        if !node.retries.spend() {
+        if !node.retries.take() {
             break;
         }
     }
--- a/crates/router/src/beats.rs
+++ b/crates/router/src/heartbeat.rs
@@ -1,4 +1,5 @@
-//! Heartbeats to neighbours, suspicion, and the platform's list.
+//! Sends heartbeats to neighbours, suspects unresponsive ones, and reads the
+//! platform's list of boxes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,39 +19,39 @@
 use crate::node::Node;
 use crate::{dial, keeper, members};
 
-/// Rumors sent with one heartbeat.
-const RUMORS: usize = 8;
-/// Heartbeats that carry one rumor, for each doubling of the fleet, so that a
-/// rumor reaches every box.
-const TELLINGS: u32 = 3;
-/// Boxes of a hall that go on reading the platform's list.
-const READERS: usize = 2;
-/// Known boxes for which a reader waits one `boxes_ms` longer: the list grows
-/// with the fleet, what a box spends on it does not.
-const LIST_STEP: usize = 4;
-/// Unknown boxes greeted for one list; rumors bring the others.
-const GREETED: usize = 4;
-/// Neighbours asked to reach a silent one.
-const HELPERS: usize = 2;
-/// Time that helpers have.
-const HELP_TIME: Duration = Duration::from_millis(600);
+/// Most rumors in one heartbeat.
+const RUMORS_MAX: usize = 8;
+/// Number of heartbeats that carry one rumor, per doubling of the fleet's size.
+/// Repeating it makes the rumor reach every box.
+const RUMOR_REPEATS: u32 = 3;
+/// Boxes of a hall that continue to read the platform's list.
+const READERS_MAX: usize = 2;
+/// A reader waits one `boxes_ms` longer for each of these many known boxes: the
+/// list grows with the fleet, the work that a box spends on it should not.
+const BOXES_PER_STEP: usize = 4;
+/// Unknown boxes dialled per read of the list; rumors bring the others.
+const GREETINGS_MAX: usize = 4;
+/// Neighbours that are asked to probe an unresponsive one.
+const HELPERS_MAX: usize = 2;
+/// Time that these neighbours have for their probes.
+const HELPER_TIMEOUT: Duration = Duration::from_millis(600);
 /// Shortest time between two full exchanges with one peer.
-const EXCHANGE_PAUSE: Duration = Duration::from_secs(2);
+const EXCHANGE_INTERVAL: Duration = Duration::from_secs(2);
 
 pub(crate) fn start(node: &Arc<Node>) {
     node.spawn(run(node.clone()));
     node.spawn(read_list(node.clone()));
 }
 
-/// The heartbeat of this box.
-pub(crate) fn beat(node: &Node) -> Beat {
+/// The next heartbeat of this box; counts the rumors in it as sent once more.
+pub(crate) fn next_beat(node: &Node) -> Beat {
     let generation = node.generation();
     let mut table = node.table();
     let doublings = table.present().count().ilog2() + 1;
     Beat {
         generation,
         table: table.digest(),
-        rumors: table.spread(RUMORS, TELLINGS * doublings),
+        rumors: table.spread(RUMORS_MAX, RUMOR_REPEATS * doublings),
     }
 }
 
@@ -61,18 +62,18 @@
         let frozen = last.elapsed() > tuning.suspect_ms.duration();
         last = Instant::now();
         if frozen {
-            // The silence was this box's own.
+            // No peer was unresponsive: this process did not run.
             node.links.excuse();
-            keeper::forget(&node);
+            keeper::reset(&node);
             metrics::counter!("tidepier_own_freezes_total").increment(1);
             log::warn!("this box was frozen");
         }
-        round(&node, tuning.neighbours);
+        send_beats(&node, tuning.neighbours);
         let expired = node
             .table()
             .expire(tuning.remove_ms.duration(), Instant::now());
         for sight in expired {
-            members::see(&node, Some(sight));
+            members::apply_change(&node, Some(sight));
         }
         let early = node.links.beat_now.listen();
         let waiting = async {
@@ -82,30 +83,31 @@
     }
 }
 
-fn round(node: &Arc<Node>, count: usize) {
+fn send_beats(node: &Arc<Node>, count: usize) {
     let names = neighbours(&node.table(), count);
     for name in &names {
         let sending = node.clone();
         let peer = name.clone();
         node.spawn(async move {
             if let Some(line) = dial::open(&sending, &peer).await {
-                line.send(Frame::Beat(beat(&sending)));
+                line.send(Frame::Beat(next_beat(&sending)));
             }
         });
-        doubt(node, name, &names);
+        check_neighbour(node, name, &names);
     }
 }
 
-/// Suspects a neighbour of this hall that is silent, unless others reach it.
-fn doubt(node: &Arc<Node>, name: &ids::Box, names: &[ids::Box]) {
+/// Suspects an unresponsive neighbour of this hall, unless other neighbours
+/// reach it.
+fn check_neighbour(node: &Arc<Node>, name: &ids::Box, names: &[ids::Box]) {
     let limit = node.settings.tuning.suspect_ms.duration();
-    if !silent(node, name, limit) {
+    if !is_unresponsive(node, name, limit) {
         return;
     }
     let helpers: Vec<_> = names
         .iter()
         .filter(|other| *other != name)
-        .take(HELPERS)
+        .take(HELPERS_MAX)
         .collect();
     for helper in helpers {
         node.links.send(helper, Frame::Reach(name.clone()));
@@ -113,27 +115,28 @@
     let node = node.clone();
     let name = name.clone();
     node.clone().spawn(async move {
-        Timer::after(HELP_TIME).await;
-        if silent(&node, &name, limit) {
+        Timer::after(HELPER_TIMEOUT).await;
+        if is_unresponsive(&node, &name, limit) {
             let sight = node.table().suspect(&name, Instant::now());
-            members::see(&node, sight);
+            members::apply_change(&node, sight);
         }
     });
 }
 
-/// Whether a box of this hall has been silent for longer than `limit`.
-fn silent(node: &Node, name: &ids::Box, limit: Duration) -> bool {
+/// Whether nothing has been received for longer than `limit` from a box of this
+/// hall.
+fn is_unresponsive(node: &Node, name: &ids::Box, limit: Duration) -> bool {
     let table = node.table();
     let Some(member) = table.get(name) else {
         return false;
     };
-    let heard = node.links.silence(name);
-    let silence = heard.unwrap_or_else(|| member.since.elapsed());
+    let received = node.links.silence(name);
+    let silence = received.unwrap_or_else(|| member.since.elapsed());
     member.hall == *node.hall() && silence > limit
 }
 
-/// Tries to reach a box for a peer that cannot.
-pub(crate) fn reach(node: &Arc<Node>, target: ids::Box, line: Line) {
+/// Probes a box for a peer that cannot reach it, and reports the result.
+pub(crate) fn probe_for_peer(node: &Arc<Node>, target: ids::Box, line: Line) {
     let limit = node.settings.tuning.suspect_ms.duration();
     if node
         .links
@@ -154,17 +157,19 @@
     });
 }
 
-/// Whether a full exchange with `peer` is due; if so, notes it as made.
+/// Whether a full exchange of tables with `peer` is due; if so, records one as
+/// made now.
 pub(crate) fn exchange_due(node: &Node, peer: &ids::Box) -> bool {
-    node.links.exchange_due(peer, EXCHANGE_PAUSE)
+    node.links.exchange_due(peer, EXCHANGE_INTERVAL)
 }
 
-/// Whether the tables differ and an exchange is due.
-pub(crate) fn differs(node: &Node, peer: &ids::Box, theirs: u32) -> bool {
+/// Whether the tables differ and a full exchange is due; if so, records one as
+/// made now.
+pub(crate) fn needs_exchange(node: &Node, peer: &ids::Box, theirs: u32) -> bool {
     node.table().digest() != theirs && exchange_due(node, peer)
 }
 
-/// Reads the platform's list and greets boxes that are not known yet.
+/// Reads the platform's list and dials boxes that are not known yet.
 async fn read_list(node: Arc<Node>) {
     let tuning = node.settings.tuning.clone();
     let address = node.settings.platform.boxes.0;
@@ -172,7 +177,7 @@
     loop {
         if reads_list(&node) {
             match boxes::read(&node.client, address, node.name(), limit).await {
-                Ok(list) => greet(&node, list),
+                Ok(list) => greet_unknown(&node, list),
                 Err(fault) => {
                     metrics::counter!("tidepier_list_failures_total").increment(1);
                     log::debug!("{fault}");
@@ -180,13 +185,14 @@
             }
         }
         let known = node.table().present().count();
-        let steps = 1 + (known / LIST_STEP) as u32;
+        let steps = 1 + (known / BOXES_PER_STEP) as u32;
         Timer::after(tuning.boxes_ms.duration() * steps).await;
     }
 }
 
-/// A box that knows no other reads the list, and two of each hall, so that
-/// groups of boxes that do not know each other find together.
+/// Whether this box reads the list: a box that knows no other does, and
+/// [`READERS_MAX`] boxes of each hall do, so that groups of boxes that do not
+/// know each other find each other.
 fn reads_list(node: &Node) -> bool {
     let table = node.table();
     if table.present().count() <= 1 {
@@ -197,10 +203,13 @@
         .map(|member| member.name.clone());
     let key = ids::Digest::of(b"list readers").0;
     let order = by_rendezvous(key, names);
-    order.iter().take(READERS).any(|name| name == node.name())
+    order
+        .iter()
+        .take(READERS_MAX)
+        .any(|name| name == node.name())
 }
 
-fn greet(node: &Arc<Node>, list: boxes::List) {
+fn greet_unknown(node: &Arc<Node>, list: boxes::List) {
     let mut unknown: Vec<_> = {
         let table = node.table();
         let known = |entry: &boxes::Entry| {
@@ -213,9 +222,10 @@
             .filter(|entry| !known(entry))
             .collect()
     };
-    // Not always the same ones: some may be gone for good.
+    // Shuffled, as some boxes of the list may be gone for good and must not use
+    // up the limit every time.
     unknown.shuffle(&mut rand::rng());
-    for entry in unknown.into_iter().take(GREETED) {
+    for entry in unknown.into_iter().take(GREETINGS_MAX) {
         let node = node.clone();
         node.clone().spawn(async move {
             dial::greet(&node, &entry.name, entry.peers).await;
--- a/crates/router/src/held.rs
+++ b/crates/router/src/holdings.rs
@@ -1,4 +1,4 @@
-//! The places that this box holds, so that a new keeper can be told of them.
+//! The places that this box holds. They are reported to a pool's new keeper.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard};
@@ -17,15 +17,15 @@
     pub(crate) keeper: ids::Box,
 }
 
-/// All places that this box holds, by its own numbers.
+/// All places that this box holds, by the numbers that it gave them.
 #[derive(Default)]
-pub(crate) struct Held {
+pub(crate) struct Holdings {
     places: Mutex<HashMap<u64, Holding>>,
-    /// Open requests by engine that a baseline has placed.
-    free: Mutex<HashMap<ids::Engine, u32>>,
+    /// Requests in flight that a baseline policy has placed, by engine.
+    baseline: Mutex<HashMap<ids::Engine, u32>>,
 }
 
-impl Held {
+impl Holdings {
     pub(crate) fn insert(&self, number: u64, holding: Holding) {
         self.lock().insert(number, holding);
     }
@@ -34,9 +34,9 @@
         self.lock().remove(&number)
     }
 
-    /// Notes that `keeper` has adopted a place under a new slot; returns
+    /// Records that `keeper` has adopted a place under a new slot; returns
     /// whether the place is still held.
-    pub(crate) fn rename(&self, number: u64, keeper: &ids::Box, slot: ids::Slot) -> bool {
+    pub(crate) fn reassign(&self, number: u64, keeper: &ids::Box, slot: ids::Slot) -> bool {
         match self.lock().get_mut(&number) {
             Some(holding) => {
                 holding.keeper = keeper.clone();
@@ -55,32 +55,32 @@
             .collect()
     }
 
-    /// Slots that `keeper` granted or adopted.
+    /// The slots that `keeper` granted or adopted.
     pub(crate) fn slots(&self, keeper: &ids::Box) -> Vec<ids::Slot> {
         let held = self.lock();
         let theirs = held.values().filter(|holding| holding.keeper == *keeper);
         theirs.map(|holding| holding.slot).collect()
     }
 
-    /// Counts a request that a baseline has placed.
-    pub(crate) fn begun(&self, engine: &ids::Engine) {
-        *self.free().entry(engine.clone()).or_default() += 1;
+    /// Counts a request that a baseline policy has placed.
+    pub(crate) fn begin_baseline(&self, engine: &ids::Engine) {
+        *self.baseline().entry(engine.clone()).or_default() += 1;
     }
 
-    /// Counts its end.
-    pub(crate) fn ended(&self, engine: &ids::Engine) {
-        if let Some(open) = self.free().get_mut(engine) {
+    /// Counts the end of a request that a baseline policy has placed.
+    pub(crate) fn end_baseline(&self, engine: &ids::Engine) {
+        if let Some(open) = self.baseline().get_mut(engine) {
             *open = open.saturating_sub(1);
         }
     }
 
-    /// Open requests on an engine that a baseline has placed.
-    pub(crate) fn open(&self, engine: &ids::Engine) -> u32 {
-        self.free().get(engine).copied().unwrap_or(0)
+    /// Requests in flight on an engine that a baseline policy has placed.
+    pub(crate) fn open_baseline(&self, engine: &ids::Engine) -> u32 {
+        self.baseline().get(engine).copied().unwrap_or(0)
     }
 
-    fn free(&self) -> MutexGuard<'_, HashMap<ids::Engine, u32>> {
-        self.free.lock().unwrap_or_else(|e| e.into_inner())
+    fn baseline(&self) -> MutexGuard<'_, HashMap<ids::Engine, u32>> {
+        self.baseline.lock().unwrap_or_else(|e| e.into_inner())
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<u64, Holding>> {
--- a/crates/router/src/job.rs
+++ b/crates/router/src/job.rs
@@ -23,8 +23,8 @@
     /// one before runs nothing of it any more.
     pub(crate) fn may_move(&mut self, node: &Node, gone: bool) -> bool {
         match gone {
-            true => node.retries.move_on(&mut self.moved),
-            false => node.retries.spend(),
+            true => node.retries.take_after_loss(&mut self.moved),
+            false => node.retries.take(),
         }
     }
 }
--- a/crates/router/src/keeper.rs
+++ b/crates/router/src/keeper.rs
@@ -1,9 +1,10 @@
-//! The pools that this box keeps: for each, it alone in its hall grants places
-//! on the pool's engines.
+//! The keeper's work. A pool is the set of one model's engines in one hall; its
+//! keeper is the one box of the hall that grants places on these engines.
 //!
-//! Which box keeps a pool follows from rendezvous order over the hall's live
-//! boxes. A box that is asked for a pool that it does not keep, by its own
-//! view, refuses; so a grant needs that asker and keeper agree on the keeper.
+//! The keeper is the first box in rendezvous order over the hall's live boxes.
+//! A box that is asked for a pool that it does not keep according to its local
+//! view refuses, so that a place is granted only if the requesting box and the
+//! keeper agree on who the keeper is.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,13 +23,13 @@
 use crate::node::Node;
 use crate::pools::Verdicts;
 
-/// Time between looks at waiting requests.
-const TICK: Duration = Duration::from_millis(20);
-/// Time that a dead box's requests may still run on their engines before
-/// their places are given away.
-const ORPHANS: Duration = Duration::from_secs(3);
+/// Time between two passes over the waiting requests.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time after a box's death before its places are released, as its requests may
+/// still run on their engines.
+const ORPHAN_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The keeper of a pool, by this box's view.
+/// The keeper of a pool according to this box's local view.
 pub(crate) fn keeper_of(node: &Node, model: &ids::Model, hall: &ids::Hall) -> Option<ids::Box> {
     let table = node.table();
     let names = table.candidates(hall).map(|member| member.name.clone());
@@ -38,39 +39,40 @@
 
 pub(crate) fn start(node: &Arc<Node>) {
     node.spawn(tick(node.clone()));
-    node.spawn(follow(node.clone()));
+    node.spawn(run_refresh(node.clone()));
 }
 
 async fn tick(node: Arc<Node>) {
     loop {
-        Timer::after(TICK).await;
-        thaw(&node);
+        Timer::after(TICK_INTERVAL).await;
+        reset_after_freeze(&node);
         let now = Instant::now();
-        deliver(&node, node.pools.each(|pool| pool.tick(now)));
+        deliver(&node, node.pools.for_each(|pool| pool.tick(now)));
     }
 }
 
-/// Forgets the pools if this process has just slept so long that others may
-/// keep them by now.
-fn thaw(node: &Arc<Node>) {
+/// Drops the pools if this process was frozen for so long that other boxes may
+/// have become their keepers.
+fn reset_after_freeze(node: &Arc<Node>) {
     let limit = node.settings.tuning.suspect_ms.duration();
     let now = Instant::now();
-    let slept = node.pools.looked(now);
-    if slept.is_some_and(|last| now.saturating_duration_since(last) > limit) {
+    let previous = node.pools.record_tick(now);
+    if previous.is_some_and(|last| now.saturating_duration_since(last) > limit) {
         dissolve(node, |_| true);
         metrics::counter!("tidepier_keeper_resets_total").increment(1);
     }
 }
 
-/// Ends the pools that `ends` holds for, and tells whoever waits before them.
+/// Removes the pools of the models that `ends` selects, and notifies the
+/// requests that wait in them.
 fn dissolve(node: &Arc<Node>, ends: impl Fn(&ids::Model) -> bool) {
-    for pool in node.pools.take(ends) {
+    for pool in node.pools.remove_matching(ends) {
         deliver(node, pool.dissolve());
     }
 }
 
-/// Keeps the pools in line with the document and the table of boxes.
-async fn follow(node: Arc<Node>) {
+/// Updates the pools after each change of the document or the table of boxes.
+async fn run_refresh(node: Arc<Node>) {
     loop {
         let document = node.current.changes();
         let table = node.table_changed.listen();
@@ -119,20 +121,22 @@
         .collect()
 }
 
-/// Decides on a request of this box or a peer.
+/// Decides on a request for a place, from this box or a peer.
 pub(crate) fn decide(node: &Arc<Node>, model: &ids::Model, ask: Ask) -> Verdict {
-    thaw(node);
+    reset_after_freeze(node);
     let now = Instant::now();
-    let decided = node.pools.on(model, |pool| pool.ask(ask, now));
+    let decided = node.pools.with_pool(model, |pool| pool.ask(ask, now));
     decided.unwrap_or_else(|| {
-        // The asker looks again: the boxes' views of the keeper differ.
+        // The two boxes have different views of who the keeper is. The
+        // requesting box looks the keeper up again.
         let fault = Fault::new(Kind::Peer, "this box does not keep the pool");
         Verdict::Refused(fault.after(Duration::from_millis(100)))
     })
 }
 
-/// Completes a peer's request from the document.
-pub(crate) fn complete(node: &Node, peer: &ids::Box, ask: &frame::Ask) -> Ask {
+/// Adds the account's share and priority from the document to a box's request
+/// for a place.
+pub(crate) fn resolve(node: &Node, peer: &ids::Box, ask: &frame::Ask) -> Ask {
     let document = node.current.document();
     let account = document.as_ref().and_then(|document| {
         document
@@ -158,31 +162,33 @@
     }
 }
 
-/// A peer asks for a place.
-pub(crate) fn asked(node: &Arc<Node>, peer: &ids::Box, ask: frame::Ask) {
-    let complete = complete(node, peer, &ask);
-    let ticket = complete.ticket.clone();
-    match decide(node, &ask.model, complete) {
+/// Handles a peer's request for a place.
+pub(crate) fn answer_ask(node: &Arc<Node>, peer: &ids::Box, ask: frame::Ask) {
+    let resolved = resolve(node, peer, &ask);
+    let ticket = resolved.ticket.clone();
+    match decide(node, &ask.model, resolved) {
         Verdict::Waits => {}
         verdict => deliver(node, vec![(ticket, verdict)]),
     }
 }
 
-/// A place is given back.
-pub(crate) fn released(node: &Arc<Node>, slot: ids::Slot, ended: Ended) {
+/// Releases a place.
+pub(crate) fn release(node: &Arc<Node>, slot: ids::Slot, ended: Ended) {
     let now = Instant::now();
     deliver(node, node.pools.release(slot, ended, now));
 }
 
-/// A request is withdrawn.
-pub(crate) fn withdrawn(node: &Arc<Node>, model: &ids::Model, ticket: &Ticket) {
+/// Withdraws a request for a place.
+pub(crate) fn withdraw(node: &Arc<Node>, model: &ids::Model, ticket: &Ticket) {
     let now = Instant::now();
-    let out = node.pools.on(model, |pool| pool.withdraw(ticket, now));
+    let out = node
+        .pools
+        .with_pool(model, |pool| pool.withdraw(ticket, now));
     deliver(node, out.unwrap_or_default());
 }
 
-/// A box tells which places it holds from an earlier keeper.
-pub(crate) fn adopted(node: &Arc<Node>, peer: &ids::Box, holdings: &[Holding]) -> Vec<Adoption> {
+/// Adopts the places that a box holds from an earlier keeper.
+pub(crate) fn adopt(node: &Arc<Node>, peer: &ids::Box, holdings: &[Holding]) -> Vec<Adoption> {
     let now = Instant::now();
     let adopt = |holding: &Holding| {
         let ask = frame::Ask {
@@ -196,8 +202,8 @@
             avoid: Vec::new(),
             patience_ms: 0,
         };
-        let ask = complete(node, peer, &ask);
-        let slot = node.pools.on(&holding.model, |pool| {
+        let ask = resolve(node, peer, &ask);
+        let slot = node.pools.with_pool(&holding.model, |pool| {
             pool.adopt(&ask, &holding.engine, now)
         });
         slot.map(|slot| Adoption {
@@ -209,17 +215,22 @@
     holdings.iter().filter_map(adopt).collect()
 }
 
-/// A box has dialled anew and names the slots that it still holds.
-pub(crate) fn still(node: &Arc<Node>, peer: &ids::Box, slots: &[ids::Slot]) {
+/// Releases the places of a box but for the slots that it still holds; it
+/// reports these when it opens a new link.
+pub(crate) fn retain_slots(node: &Arc<Node>, peer: &ids::Box, slots: &[ids::Slot]) {
     let now = Instant::now();
-    deliver(node, node.pools.each(|pool| pool.retain(peer, slots, now)));
+    deliver(
+        node,
+        node.pools.for_each(|pool| pool.retain(peer, slots, now)),
+    );
 }
 
-/// A box is dead: its places are free once its orphaned requests have ended.
-/// Only what it has now: it may have come back under its name by then.
-pub(crate) fn bereave(node: &Arc<Node>, dead: &ids::Box) {
+/// Releases the places of a dead box after [`ORPHAN_TIMEOUT`], when its orphaned
+/// requests have ended. The slots are collected now: by then the box may have
+/// returned under the same name and hold others.
+pub(crate) fn release_orphans(node: &Arc<Node>, dead: &ids::Box) {
     let mut orphans = Vec::new();
-    let out = node.pools.each(|pool| {
+    let out = node.pools.for_each(|pool| {
         let out = pool.forsake(dead);
         orphans.extend(pool.slots(dead));
         out
@@ -227,31 +238,32 @@
     deliver(node, out);
     let node = node.clone();
     node.clone().spawn(async move {
-        Timer::after(ORPHANS).await;
+        Timer::after(ORPHAN_TIMEOUT).await;
         for slot in orphans {
-            released(&node, slot, Ended::Served);
+            release(&node, slot, Ended::Served);
         }
     });
 }
 
-/// Starts all pools anew: this box may have lost them without noticing.
-pub(crate) fn forget(node: &Arc<Node>) {
+/// Recreates all pools, as other boxes may have become their keepers without
+/// this box noticing.
+pub(crate) fn reset(node: &Arc<Node>) {
     dissolve(node, |_| true);
     refresh(node);
 }
 
-/// Sends verdicts to those who wait.
+/// Sends verdicts to the boxes whose requests they decide.
 pub(crate) fn deliver(node: &Arc<Node>, verdicts: Verdicts) {
     for (ticket, verdict) in verdicts {
         if ticket.from == *node.name() {
-            deliver_here(node, ticket.number, verdict);
+            deliver_locally(node, ticket.number, verdict);
         } else {
-            deliver_there(node, &ticket, verdict);
+            deliver_to_peer(node, &ticket, verdict);
         }
     }
 }
 
-fn deliver_here(node: &Arc<Node>, number: u64, verdict: Verdict) {
+fn deliver_locally(node: &Arc<Node>, number: u64, verdict: Verdict) {
     let result = match verdict {
         Verdict::Granted(grant) => Ok(grant),
         Verdict::Refused(fault) => Err(fault),
@@ -259,22 +271,23 @@
     };
     let answered = node.links.answer(number, Answer::Place(result));
     if let Err(Answer::Place(Ok(grant))) = answered {
-        // The request has ended meanwhile: its place goes back at once.
-        released(node, grant.slot, Ended::Served);
+        // The request has ended in the meantime: its place is released at once.
+        release(node, grant.slot, Ended::Served);
     }
 }
 
-/// The pressure on the pool of an engine.
+/// The pressure (requests per engine) on the pool of an engine.
 pub(crate) fn pressure(node: &Node, engine: &ids::Engine) -> Pressure {
     let document = node.current.document();
     let found = document
         .as_ref()
         .and_then(|document| document.engine(engine));
-    let pressure = found.and_then(|engine| node.pools.on(&engine.model, |pool| pool.pressure()));
+    let pressure =
+        found.and_then(|engine| node.pools.with_pool(&engine.model, |pool| pool.pressure()));
     Pressure::new(pressure.unwrap_or(0.0))
 }
 
-fn deliver_there(node: &Arc<Node>, ticket: &Ticket, verdict: Verdict) {
+fn deliver_to_peer(node: &Arc<Node>, ticket: &Ticket, verdict: Verdict) {
     let frame = match verdict {
         Verdict::Granted(grant) => {
             let pressure = pressure(node, &grant.engine);
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,17 +1,17 @@
 //! The router process of an entry box.
 //!
-//! A [`Node`] is one running router: it takes callers' requests, finds each a
-//! place on an engine through the keeper of the engine's pool, and carries the
-//! answer back whole. Modules follow the things a router deals with: callers,
-//! peers, keepers, engines, the store.
+//! A [`Node`] is one running router. It accepts the clients' requests, obtains
+//! for each a place on an engine from the keeper of the engine's pool, and
+//! returns the complete answer. There are modules for each party that a router
+//! communicates with: clients, peers, keepers, engines, the store.
 //!
-//! Every task of a node runs on its own executor, so that dropping the
-//! executor ends the node as a killed process ends: sockets close, nothing is
-//! said.
+//! Every task of a node runs on its own executor, so that dropping the executor
+//! ends the node like a killed process: its sockets close, and no peer is
+//! notified.
 
 mod admin;
 mod apply;
-mod beats;
+mod at_most_once;
 mod budget;
 mod deadline;
 mod dial;
@@ -21,13 +21,13 @@
 mod engine;
 mod fates;
 mod follow;
-mod held;
+mod heartbeat;
+mod holdings;
 mod job;
 mod keeper;
 mod links;
 mod members;
 mod node;
-mod once;
 mod peers;
 mod phase;
 mod place;
--- a/crates/router/src/members.rs
+++ b/crates/router/src/members.rs
@@ -1,4 +1,4 @@
-//! The boxes that this one knows of, and what follows when one comes or goes.
+//! Changes of the membership table, and the actions that follow from them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,8 +10,8 @@
 use crate::keeper;
 use crate::node::Node;
 
-/// Takes note of a box that has proved who it is.
-pub(crate) fn met(node: &Arc<Node>, peer: &Hello) {
+/// Adds a box that has authenticated on a link to the table.
+pub(crate) fn record_authenticated(node: &Arc<Node>, peer: &Hello) {
     let rumor = Rumor {
         name: peer.name.clone(),
         hall: peer.hall.clone(),
@@ -21,30 +21,30 @@
         sequence: 0,
         state: State::Alive,
     };
-    hear(node, vec![rumor]);
+    merge_rumors(node, vec![rumor]);
 }
 
-/// Nothing listens at `address`: the box that was there is gone.
-pub(crate) fn gone(node: &Arc<Node>, address: SocketAddr) {
-    let buried = {
+/// Records the box at `address` as dead, as nothing listens there.
+pub(crate) fn record_unreachable(node: &Arc<Node>, address: SocketAddr) {
+    let sight = {
         let mut table = node.table();
         let there = table.present().find(|member| member.rumor.peers == address);
         let there = there.map(|member| member.name.clone());
         there.and_then(|name| table.bury(&name, Instant::now()))
     };
-    see(node, buried);
+    apply_change(node, sight);
 }
 
-/// Takes rumors and acts on what is new.
-pub(crate) fn hear(node: &Arc<Node>, rumors: Vec<Rumor>) {
+/// Merges rumors into the table and acts on the changes.
+pub(crate) fn merge_rumors(node: &Arc<Node>, rumors: Vec<Rumor>) {
     for rumor in rumors {
         let sight = node.table().hear(rumor, Instant::now());
-        see(node, sight);
+        apply_change(node, sight);
     }
 }
 
 /// Acts on a change of the table.
-pub(crate) fn see(node: &Arc<Node>, sight: Option<Sight>) {
+pub(crate) fn apply_change(node: &Arc<Node>, sight: Option<Sight>) {
     let Some(sight) = sight else {
         return;
     };
@@ -60,11 +60,11 @@
         Sight::Changed(name, state) => log::info!("box changed box={name} state={}", state.name()),
         Sight::Died(name) => {
             log::info!("box died box={name}");
-            keeper::bereave(node, name);
+            keeper::release_orphans(node, name);
         }
         Sight::Reborn => {
-            log::warn!("declared dead by others; new incarnation");
-            keeper::forget(node);
+            log::warn!("other boxes declared this box dead; continuing with a new incarnation");
+            keeper::reset(node);
         }
     }
     node.table_changed.notify(usize::MAX);
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -21,7 +21,7 @@
 use crate::budget::Budget;
 use crate::document::Current;
 use crate::fates::Fates;
-use crate::held::Held;
+use crate::holdings::Holdings;
 use crate::links::{Line, Links};
 use crate::phase::{Phase, Stop};
 use crate::pools::Pools;
@@ -47,7 +47,7 @@
     pub(crate) client: Pool,
     pub(crate) store: Client,
     pub(crate) pools: Pools,
-    pub(crate) held: Held,
+    pub(crate) holdings: Holdings,
     pub(crate) pressures: Pressures,
     pub(crate) links: Links,
     /// Who takes the frames of other boxes. A plain function, given at the
@@ -96,7 +96,7 @@
             client,
             store,
             pools: Pools::default(),
-            held: Held::default(),
+            holdings: Holdings::default(),
             pressures: Pressures::default(),
             links: Links::default(),
             take,
@@ -165,13 +165,13 @@
 
     /// Notes the pressure that the keeper of an engine's pool told; an engine
     /// that no document names any more has no pool.
-    pub(crate) fn pressed(&self, engine: &ids::Engine, pressure: Pressure) {
+    pub(crate) fn record_pressure(&self, engine: &ids::Engine, pressure: Pressure) {
         let document = self.current.document();
         let found = document
             .as_ref()
             .and_then(|document| document.engine(engine));
         if let Some(engine) = found {
-            self.pressures.note(engine, pressure);
+            self.pressures.record(engine, pressure);
         }
     }
 
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -16,7 +16,7 @@
 use crate::document::Update;
 use crate::links::{Answer, Line};
 use crate::node::Node;
-use crate::{beats, dial, follow, keeper, members, once, place};
+use crate::{at_most_once, dial, follow, heartbeat, keeper, members, place};
 
 /// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -50,7 +50,7 @@
     match frame {
         Frame::Beat(theirs) => {
             let differs = heard_beat(node, peer, theirs);
-            line.send(Frame::Echo(beats::beat(node)));
+            line.send(Frame::Echo(heartbeat::next_beat(node)));
             if differs {
                 line.send(Frame::Table(node.table().rumors()));
             }
@@ -59,13 +59,13 @@
             heard_beat(node, peer, theirs);
         }
         Frame::Table(rumors) => {
-            members::hear(node, rumors);
+            members::merge_rumors(node, rumors);
             // The sender lacks what this box knows beyond it.
-            if beats::exchange_due(node, peer) {
+            if heartbeat::exchange_due(node, peer) {
                 line.send(Frame::Table(node.table().rumors()));
             }
         }
-        Frame::Reach(target) => beats::reach(node, target, line.clone()),
+        Frame::Reach(target) => heartbeat::probe_for_peer(node, target, line.clone()),
         Frame::Reached(target, yes) => {
             if yes {
                 node.links.heard(&target);
@@ -82,36 +82,38 @@
                 line.send(frame);
             }
         }
-        Frame::Ask(ask) => keeper::asked(node, peer, ask),
+        Frame::Ask(ask) => keeper::answer_ask(node, peer, ask),
         Frame::Grant(number, engine, slot, pressure) => {
-            node.pressed(&engine, pressure);
+            node.record_pressure(&engine, pressure);
             granted(node, peer, number, Grant { engine, slot });
         }
         Frame::Refuse(number, kind, detail, after_ms) => {
             let fault = Fault::new(kind, detail).after(Duration::from_millis(after_ms));
             let _ = node.links.answer(number, Answer::Place(Err(fault)));
         }
-        Frame::Release(slot, ended) => keeper::released(node, slot, ended),
+        Frame::Release(slot, ended) => keeper::release(node, slot, ended),
         Frame::Withdraw(model, number) => {
             let ticket = Ticket {
                 from: peer.clone(),
                 number,
             };
-            keeper::withdrawn(node, &model, &ticket);
+            keeper::withdraw(node, &model, &ticket);
         }
         Frame::Holds(holdings) => {
-            let adopted = keeper::adopted(node, peer, &holdings);
+            let adopted = keeper::adopt(node, peer, &holdings);
             line.send(Frame::Adopted(adopted));
         }
-        Frame::Still(slots) => keeper::still(node, peer, &slots),
-        Frame::Adopted(slots) => place::adopted(node, peer, &slots),
-        Frame::FateOf(number, claim) => once::fate_asked(node, number, claim, line),
+        Frame::Still(slots) => keeper::retain_slots(node, peer, &slots),
+        Frame::Adopted(slots) => place::record_adoptions(node, peer, &slots),
+        Frame::FateOf(number, claim) => at_most_once::answer_fate(node, number, claim, line),
         Frame::Fate(number, fate) => drop(node.links.answer(number, Answer::Fate(fate))),
-        Frame::Claim(number, wish) => once::claim_asked(node, number, &wish, peer, line.clone()),
+        Frame::Claim(number, wish) => {
+            at_most_once::answer_claim(node, number, &wish, peer, line.clone())
+        }
         Frame::Claimed(number, claimed) => {
             drop(node.links.answer(number, Answer::Claimed(claimed)));
         }
-        Frame::Bye(rumor) => members::hear(node, vec![rumor]),
+        Frame::Bye(rumor) => members::merge_rumors(node, vec![rumor]),
         // Only the opening of a link has these.
         Frame::Hello(_) | Frame::Proof(_) => {
             metrics::counter!("tidepier_link_refused_total", "why" => "out of place").increment(1);
@@ -123,13 +125,13 @@
 fn granted(node: &Arc<Node>, peer: &ids::Box, number: u64, grant: Grant) {
     let answered = node.links.answer(number, Answer::Place(Ok(grant)));
     if let Err(Answer::Place(Ok(grant))) = answered {
-        place::unwanted(node, peer, &grant);
+        place::release_unused(node, peer, &grant);
     }
 }
 
 /// Takes what a heartbeat tells; returns whether the tables differ.
 fn heard_beat(node: &Arc<Node>, peer: &ids::Box, theirs: Beat) -> bool {
-    members::hear(node, theirs.rumors);
+    members::merge_rumors(node, theirs.rumors);
     follow::heard(node, peer, theirs.generation);
-    beats::differs(node, peer, theirs.table)
+    heartbeat::needs_exchange(node, peer, theirs.table)
 }
--- a/crates/router/src/place/ask.rs
+++ b/crates/router/src/place/ask.rs
@@ -1,4 +1,4 @@
-//! The question to the keeper of one hall's pool, and its answer.
+//! Requests a place on an engine from the keeper of one hall's pool.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,56 +16,62 @@
 
 use super::hold::Place;
 use crate::deadline::Deadline;
-use crate::held::Holding;
+use crate::holdings::Holding;
 use crate::links::Answer;
 use crate::node::Node;
 use crate::trace::Hop;
 use crate::{dial, keeper};
 
-/// Pause before a keeper that could not answer is looked for again.
-const AGAIN: Duration = Duration::from_millis(50);
-/// Time to open a link to a keeper in another hall. A hall that is cut off
-/// answers nothing, and each of its chats is then served elsewhere after this.
-const AWAY_OPEN: Duration = Duration::from_millis(250);
+/// Time before the keeper is looked up and asked again after it could not answer.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Time to open a link to a keeper in another hall. A hall that is partitioned
+/// from this box does not answer; each of its chats waits this long before it
+/// is served elsewhere.
+const REMOTE_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Asks the keeper of a hall's pool until it decides.
+/// Asks the keeper of a hall's pool, again after link failures, until it grants
+/// a place or refuses.
 pub(super) async fn in_hall(
     node: &Arc<Node>,
     work: &Work,
     hall: &ids::Hall,
 ) -> Result<Place, Fault> {
-    let away = hall != node.hall();
+    let is_remote = hall != node.hall();
     loop {
         let Some(keeper) = keeper::keeper_of(node, &work.model, hall) else {
             return Err(no_engine("no live box in the hall"));
         };
-        match ask(node, work, hall, &keeper).await {
+        match ask_keeper(node, work, hall, &keeper).await {
             Ok(place) => return Ok(place),
             Err(fault) if fault.kind != Kind::Peer => return Err(fault),
-            // Another hall that does not answer may be cut off for long;
-            // the chat is better served elsewhere.
-            Err(fault) if away && fault.retry_after.is_none() => return Err(fault_away(fault)),
-            Err(_) if Deadline::at(work.deadline).left() <= AGAIN => {
+            // Another hall that does not answer may stay partitioned for a long
+            // time, so the chat is served elsewhere instead of waiting.
+            Err(fault) if is_remote && fault.retry_after.is_none() => {
+                return Err(hall_unavailable(fault))
+            }
+            Err(_) if Deadline::at(work.deadline).left() <= RETRY_DELAY => {
                 return Err(no_engine("the pool's keeper did not answer in time"));
             }
-            Err(_) => drop(Timer::after(AGAIN).await),
+            Err(_) => drop(Timer::after(RETRY_DELAY).await),
         }
     }
 }
 
-fn fault_away(fault: Fault) -> Fault {
+/// Turns a link failure into a refusal, so that the next hall is tried.
+fn hall_unavailable(fault: Fault) -> Fault {
     no_engine(&fault.detail)
 }
 
-/// Waits for a keeper's decision and withdraws the request when dropped.
-struct Wait<'n> {
+/// A request that a keeper has not decided yet. When dropped before the answer
+/// has arrived, it is withdrawn from the keeper.
+struct Pending<'n> {
     node: &'n Arc<Node>,
     model: &'n ids::Model,
     keeper: &'n ids::Box,
     number: u64,
 }
 
-impl Drop for Wait<'_> {
+impl Drop for Pending<'_> {
     fn drop(&mut self) {
         if !self.node.links.forget(self.number) {
             return;
@@ -75,7 +81,7 @@
                 from: self.keeper.clone(),
                 number: self.number,
             };
-            keeper::withdrawn(self.node, self.model, &ticket);
+            keeper::withdraw(self.node, self.model, &ticket);
         } else {
             let frame = Frame::Withdraw(self.model.clone(), self.number);
             self.node.links.send(self.keeper, frame);
@@ -83,28 +89,28 @@
     }
 }
 
-/// Asks one keeper and holds the place that it grants.
-async fn ask(
+/// Asks one keeper and records the place that it grants in the holdings.
+async fn ask_keeper(
     node: &Arc<Node>,
     work: &Work,
     hall: &ids::Hall,
     keeper: &ids::Box,
 ) -> Result<Place, Fault> {
     let number = node.links.number();
-    let question = question(work, number);
+    let ask = new_ask(work, number);
     let answer = node.links.expect(keeper, number);
-    let wait = Wait {
+    let pending = Pending {
         node,
         model: &work.model,
         keeper,
         number,
     };
     let grant = if keeper == node.name() {
-        ask_self(node, work, &question, &answer).await?
+        decide_locally(node, work, &ask, &answer).await?
     } else {
-        ask_box(node, work, hall, keeper, question, &answer).await?
+        ask_peer(node, work, hall, keeper, ask, &answer).await?
     };
-    drop(wait);
+    drop(pending);
     let holding = Holding {
         model: work.model.clone(),
         hall: hall.clone(),
@@ -113,7 +119,7 @@
         slot: grant.slot,
         keeper: keeper.clone(),
     };
-    node.held.insert(number, holding);
+    node.holdings.insert(number, holding);
     let note = format!(
         "keeper {keeper} of {}/{hall} granted {}",
         work.model, grant.engine
@@ -122,7 +128,7 @@
     Ok(Place::new(node, Some(number), grant.engine))
 }
 
-fn question(work: &Work, number: u64) -> Ask {
+fn new_ask(work: &Work, number: u64) -> Ask {
     Ask {
         number,
         model: work.model.clone(),
@@ -136,56 +142,56 @@
     }
 }
 
-/// Decides at this box, which keeps the pool itself.
-async fn ask_self(
+/// Decides in this process, as this box is the keeper of the pool.
+async fn decide_locally(
     node: &Arc<Node>,
     work: &Work,
-    question: &Ask,
+    ask: &Ask,
     answer: &Receiver<Answer>,
 ) -> Result<Grant, Fault> {
-    let complete = keeper::complete(node, node.name(), question);
-    match keeper::decide(node, &work.model, complete) {
+    let resolved = keeper::resolve(node, node.name(), ask);
+    match keeper::decide(node, &work.model, resolved) {
         Verdict::Granted(grant) => {
-            node.links.forget(question.number);
+            node.links.forget(ask.number);
             let pressure = keeper::pressure(node, &grant.engine);
-            node.pressed(&grant.engine, pressure);
+            node.record_pressure(&grant.engine, pressure);
             Ok(grant)
         }
         Verdict::Refused(fault) => {
-            node.links.forget(question.number);
+            node.links.forget(ask.number);
             Err(fault)
         }
-        Verdict::Waits => waited(answer, work).await,
+        Verdict::Waits => wait_for_decision(answer, work).await,
     }
 }
 
-/// Asks the box that keeps the pool.
-async fn ask_box(
+/// Asks the other box that is the keeper of the pool.
+async fn ask_peer(
     node: &Arc<Node>,
     work: &Work,
     hall: &ids::Hall,
     keeper: &ids::Box,
-    question: Ask,
+    ask: Ask,
     answer: &Receiver<Answer>,
 ) -> Result<Grant, Fault> {
     let opening = dial::open(node, keeper);
     let line = match hall == node.hall() {
         true => opening.await,
-        false => within(AWAY_OPEN, opening).await.flatten(),
+        false => within(REMOTE_CONNECT_TIMEOUT, opening).await.flatten(),
     };
     let Some(line) = line else {
-        node.links.forget(question.number);
+        node.links.forget(ask.number);
         return Err(Fault::new(
             Kind::Peer,
             format!("keeper {keeper} cannot be reached"),
         ));
     };
-    line.send(Frame::Ask(question));
-    waited(answer, work).await
+    line.send(Frame::Ask(ask));
+    wait_for_decision(answer, work).await
 }
 
 /// Waits for a keeper's decision until the request's deadline.
-async fn waited(answer: &Receiver<Answer>, work: &Work) -> Result<Grant, Fault> {
+async fn wait_for_decision(answer: &Receiver<Answer>, work: &Work) -> Result<Grant, Fault> {
     let answered = async { answer.recv().await.ok() };
     let late = async {
         Timer::after(Deadline::at(work.deadline).left()).await;
@@ -200,19 +206,21 @@
     }
 }
 
-/// The hash of the shared start of the prompt, which chooses its engines.
+/// The hash of the prompt's shared start. The rendezvous order of halls and
+/// engines follows from it.
 pub(super) fn prefix(work: &Work) -> ids::Prefix {
     let part = work.prompt.subject();
     part.map_or_else(ids::Prefix::default, |part| ids::Prefix(part.id))
 }
 
-/// The hash of the session; its part's id holds no more than that.
+/// The hash of the chat. The id of the prompt's last part holds only these 32
+/// bits, so the cast loses nothing.
 fn chat(work: &Work) -> ids::Chat {
     let part = work.prompt.parts.last();
     part.map_or_else(ids::Chat::default, |part| ids::Chat(part.id as u32))
 }
 
-/// The refusal where no engine can take the request.
+/// The refusal when no engine can take the request.
 pub(super) fn no_engine(detail: &str) -> Fault {
     Fault::new(Kind::NoEngine, detail).after(Duration::from_secs(2))
 }
--- a/crates/router/src/place/rehome.rs
+++ b/crates/router/src/place/handover.rs
@@ -1,7 +1,7 @@
-//! Telling new keepers of the places that this box holds.
+//! Reports the places that this box holds to new keepers.
 //!
-//! When the table of boxes changes, a pool may get another keeper, which knows
-//! of a held place only from whoever holds it.
+//! When the table of boxes changes, a pool may get another keeper. The new
+//! keeper learns of a held place only from the box that holds it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,26 +17,25 @@
 use crate::node::Node;
 use crate::{dial, keeper};
 
-/// Time between looks whether held places have a new keeper.
-const REHOME: Duration = Duration::from_millis(500);
+/// Longest time between two checks whether held places have a new keeper.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Starts the task that tells new keepers.
+/// Starts the task that reports held places to new keepers.
 pub(crate) fn start(node: &Arc<Node>) {
-    node.spawn(rehome(node.clone()));
+    node.spawn(run(node.clone()));
 }
 
-/// Tells new keepers of the places that this box holds.
-async fn rehome(node: Arc<Node>) {
+async fn run(node: Arc<Node>) {
     loop {
         let changed = node.table_changed.listen();
         let again = async {
-            Timer::after(REHOME).await;
+            Timer::after(CHECK_INTERVAL).await;
         };
         changed.or(again).await;
-        for (keeper, holdings) in moved(&node) {
+        for (keeper, holdings) in reassigned(&node) {
             if keeper == *node.name() {
-                let slots = keeper::adopted(&node, &keeper, &holdings);
-                adopted(&node, &keeper, &slots);
+                let slots = keeper::adopt(&node, &keeper, &holdings);
+                record_adoptions(&node, &keeper, &slots);
             } else if let Some(line) = dial::open(&node, &keeper).await {
                 line.send(Frame::Holds(holdings));
             }
@@ -44,37 +43,41 @@
     }
 }
 
-/// Held places whose keeper has changed, by the new keeper.
-fn moved(node: &Node) -> Vec<(ids::Box, Vec<frame::Holding>)> {
+/// Held places whose keeper has changed, grouped by the new keeper.
+fn reassigned(node: &Node) -> Vec<(ids::Box, Vec<frame::Holding>)> {
     let mut by_keeper: Vec<(ids::Box, Vec<frame::Holding>)> = Vec::new();
-    for (number, holding) in node.held.all() {
+    for (number, holding) in node.holdings.all() {
         let Some(keeper) = keeper::keeper_of(node, &holding.model, &holding.hall) else {
             continue;
         };
         if keeper == holding.keeper {
             continue;
         }
-        let told = frame::Holding {
+        let report = frame::Holding {
             model: holding.model,
             account: holding.account,
             engine: holding.engine,
             number,
         };
         match by_keeper.iter_mut().find(|(name, _)| *name == keeper) {
-            Some((_, list)) => list.push(told),
-            None => by_keeper.push((keeper, vec![told])),
+            Some((_, list)) => list.push(report),
+            None => by_keeper.push((keeper, vec![report])),
         }
     }
     by_keeper
 }
 
-/// A new keeper has adopted places. Those that ended meanwhile go back.
-pub(crate) fn adopted(node: &Arc<Node>, keeper: &ids::Box, slots: &[Adoption]) {
+/// Records the slots under which a new keeper has adopted places, and releases
+/// those whose requests have ended in the meantime.
+pub(crate) fn record_adoptions(node: &Arc<Node>, keeper: &ids::Box, slots: &[Adoption]) {
     for adoption in slots {
-        if node.held.rename(adoption.number, keeper, adoption.slot) {
+        if node
+            .holdings
+            .reassign(adoption.number, keeper, adoption.slot)
+        {
             continue;
         }
-        // The place ended while the new keeper adopted it.
+        // The request ended while the new keeper adopted its place.
         release(node, keeper, adoption.slot, Ended::Served);
     }
 }
--- a/crates/router/src/place/hold.rs
+++ b/crates/router/src/place/hold.rs
@@ -1,6 +1,7 @@
-//! A place on an engine, from its grant to its return.
+//! A place on an engine, from its grant to its release.
 //!
-//! Invariant: each place is given back once, to the keeper that has it then.
+//! Invariant: each place is released exactly once, to the box that is its
+//! keeper at that time.
 
 use std::sync::Arc;
 
@@ -11,19 +12,19 @@
 use crate::keeper;
 use crate::node::Node;
 
-/// A held place; given back when dropped.
+/// A held place; released when dropped.
 pub(crate) struct Place {
     node: Arc<Node>,
-    /// This box's number for it; `None` for one taken by a baseline, which no
-    /// keeper knows of.
+    /// This box's number for the place; `None` if a baseline policy chose the
+    /// engine, as no keeper has granted the place then.
     number: Option<u64>,
-    /// The engine.
     pub(crate) engine: ids::Engine,
     ended: Ended,
 }
 
 impl Place {
-    /// A place on `engine` that is given back as served unless told otherwise.
+    /// A place on `engine` that is released as served unless
+    /// [`mark_failed`](Self::mark_failed) is called.
     pub(super) fn new(node: &Arc<Node>, number: Option<u64>, engine: ids::Engine) -> Self {
         Self {
             node: node.clone(),
@@ -33,8 +34,8 @@
         }
     }
 
-    /// Notes that the engine could not be reached or broke off.
-    pub(crate) fn failed(&mut self) {
+    /// Records that the engine could not be reached or broke off its answer.
+    pub(crate) fn mark_failed(&mut self) {
         self.ended = Ended::Failed;
     }
 }
@@ -42,26 +43,26 @@
 impl Drop for Place {
     fn drop(&mut self) {
         let Some(number) = self.number else {
-            self.node.held.ended(&self.engine);
+            self.node.holdings.end_baseline(&self.engine);
             return;
         };
-        let Some(holding) = self.node.held.remove(number) else {
+        let Some(holding) = self.node.holdings.remove(number) else {
             return;
         };
         release(&self.node, &holding.keeper, holding.slot, self.ended);
     }
 }
 
-/// Gives a slot back to its keeper, which may be this box.
+/// Releases a slot at its keeper, which may be this box.
 pub(super) fn release(node: &Arc<Node>, keeper: &ids::Box, slot: ids::Slot, ended: Ended) {
     if keeper == node.name() {
-        keeper::released(node, slot, ended);
+        keeper::release(node, slot, ended);
     } else {
         node.links.send(keeper, Frame::Release(slot, ended));
     }
 }
 
-/// Gives back a place that came after its request had ended.
-pub(crate) fn unwanted(node: &Arc<Node>, keeper: &ids::Box, grant: &Grant) {
+/// Releases a place that was granted after its request had ended.
+pub(crate) fn release_unused(node: &Arc<Node>, keeper: &ids::Box, grant: &Grant) {
     release(node, keeper, grant.slot, Ended::Served);
 }
--- a/crates/router/src/place/mod.rs
+++ b/crates/router/src/place/mod.rs
@@ -1,12 +1,12 @@
-//! Getting a place on an engine, and giving it back.
+//! Obtains a place on an engine for a request, and releases it.
 //!
-//! * `hold`: a held place, which is given back when dropped.
-//! * `ask`: the question to the keeper of one hall's pool.
-//! * `rehome`: telling new keepers of the places that this box holds.
+//! * `hold`: a held place, which is released when dropped.
+//! * `ask`: the request for a place to the keeper of one hall's pool.
+//! * `handover`: reports the places that this box holds to new keepers.
 
 mod ask;
+mod handover;
 mod hold;
-mod rehome;
 
 use std::sync::Arc;
 
@@ -21,15 +21,15 @@
 use crate::node::Node;
 use crate::trace::Hop;
 
-pub(crate) use self::hold::{unwanted, Place};
-pub(crate) use self::rehome::{adopted, start};
+pub(crate) use self::handover::{record_adoptions, start};
+pub(crate) use self::hold::{release_unused, Place};
 
 /// Finds a place for a request, hall by hall in the chat's rendezvous order.
 ///
 /// # Errors
 ///
-/// The refusal of the first hall that can be reached and is full; nothing has
-/// been sent to any engine.
+/// The refusal of the first hall that was asked; nothing has been sent to any
+/// engine.
 pub(crate) async fn find(node: &Arc<Node>, work: &Work) -> Result<Place, Fault> {
     let document = node.document()?;
     if document.returning.policy != Policy::Tidepier {
@@ -41,9 +41,9 @@
     } else {
         load.aim
     };
-    let halls = node
-        .pressures
-        .spread(&work.model, halls(&document, work), multiple);
+    let halls =
+        node.pressures
+            .overloaded_last(&work.model, halls_in_order(&document, work), multiple);
     let mut first: Option<Fault> = None;
     for hall in halls {
         match in_hall(node, work, &hall).await {
@@ -61,9 +61,9 @@
     Err(first.unwrap_or_else(|| no_engine("no hall with an active engine for the model")))
 }
 
-/// Halls with active engines of the model: first that of the preferred engine,
-/// then in rendezvous order of the chat.
-fn halls(document: &Document, work: &Work) -> Vec<ids::Hall> {
+/// Halls with active engines of the model: first the hall of the preferred
+/// engine, then the others in rendezvous order of the prompt's shared start.
+fn halls_in_order(document: &Document, work: &Work) -> Vec<ids::Hall> {
     let active = |engine: &&Engine| engine.model == work.model && engine.state == State::Active;
     let mut halls: Vec<_> = document
         .engines
@@ -84,7 +84,8 @@
     halls
 }
 
-/// Takes a place by a baseline: this router decides by itself.
+/// Chooses an engine by a baseline policy, from the requests of this router
+/// alone and without a keeper.
 fn by_baseline(node: &Arc<Node>, document: &Document, work: &Work) -> Result<Place, Fault> {
     let among: Vec<_> = document
         .engines
@@ -93,11 +94,11 @@
         .filter(|engine| !work.avoid.contains(&engine.name))
         .map(|engine| Candidate {
             engine: engine.name.clone(),
-            open: node.held.open(&engine.name),
+            open: node.holdings.open_baseline(&engine.name),
         })
         .collect();
     let chosen = choose(document.returning.policy, prefix(work), &among);
     let engine = chosen.ok_or_else(|| no_engine("no engine left to try"))?;
-    node.held.begun(&engine);
+    node.holdings.begin_baseline(&engine);
     Ok(Place::new(node, None, engine))
 }
--- a/crates/router/src/pools.rs
+++ b/crates/router/src/pools.rs
@@ -1,7 +1,8 @@
-//! The pools that this box keeps, without any of its tasks.
+//! The pools of which this box is the keeper, without the tasks that work on
+//! them.
 //!
-//! Each call locks for as long as it works on the pools and no longer; verdicts
-//! are handed back to be sent by whoever called.
+//! Each call holds the lock only while it works on the pools. It returns the
+//! verdicts, and the calling code sends them.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard};
@@ -14,40 +15,44 @@
 
 use crate::status::PoolStatus;
 
-/// Decisions, and whom they are for.
+/// Decisions, each with the ticket of the request that it answers.
 pub(crate) type Verdicts = Vec<(Ticket, Verdict)>;
 
 #[derive(Default)]
-struct Kept {
+struct State {
     pools: HashMap<ids::Model, Pool>,
-    /// When the pools were last ticked or asked for a place.
+    /// Time of the last tick or the last request for a place.
     ticked: Option<Instant>,
 }
 
-/// An engine of a pool that this box keeps.
-pub(crate) struct Watched {
+/// An engine to probe, of a pool that this box keeps.
+pub(crate) struct Target {
     pub(crate) model: ids::Model,
     pub(crate) engine: ids::Engine,
-    /// Whether it is looked at often: its pool was taken over a short while ago,
-    /// or it is out and may come back.
-    pub(crate) often: bool,
+    /// Whether it is probed more often: this box became the keeper of its pool a
+    /// short while ago, or the engine is ejected and may recover.
+    pub(crate) is_frequent: bool,
 }
 
 /// The pools of one box.
 #[derive(Default)]
-pub(crate) struct Pools(Mutex<Kept>);
+pub(crate) struct Pools(Mutex<State>);
 
 impl Pools {
-    fn lock(&self) -> MutexGuard<'_, Kept> {
+    fn lock(&self) -> MutexGuard<'_, State> {
         self.0.lock().unwrap_or_else(|e| e.into_inner())
     }
 
     /// Runs `work` on the pool of `model`, if this box keeps it.
-    pub(crate) fn on<T>(&self, model: &ids::Model, work: impl FnOnce(&mut Pool) -> T) -> Option<T> {
+    pub(crate) fn with_pool<T>(
+        &self,
+        model: &ids::Model,
+        work: impl FnOnce(&mut Pool) -> T,
+    ) -> Option<T> {
         self.lock().pools.get_mut(model).map(work)
     }
 
-    /// The pools kept here, by model.
+    /// The pools that this box keeps, sorted by model.
     pub(crate) fn summary(&self) -> Vec<PoolStatus> {
         let state = self.lock();
         let mut rows: Vec<_> = state
@@ -64,26 +69,31 @@
         rows
     }
 
-    /// Engines of the pools kept here.
-    pub(crate) fn engines(&self) -> Vec<Watched> {
+    /// The active engines of the pools that this box keeps.
+    pub(crate) fn engines(&self) -> Vec<Target> {
         let state = self.lock();
         let now = Instant::now();
         let pools = state.pools.iter();
         let engines = pools.flat_map(|(model, pool)| {
             let active = pool.engines().iter().filter(|(_, engine)| engine.active);
-            active.map(move |(name, engine)| Watched {
+            active.map(move |(name, engine)| Target {
                 model: model.clone(),
                 engine: name.clone(),
-                often: pool.is_young(now) || engine.ejected.is_some(),
+                is_frequent: pool.is_young(now) || engine.ejected.is_some(),
             })
         });
         engines.collect()
     }
 
-    /// Takes what an engine reported; `None`: it did not answer.
-    pub(crate) fn report(&self, model: &ids::Model, engine: &ids::Engine, running: Option<u32>) {
+    /// Records the load report of an engine; `None` if it did not answer.
+    pub(crate) fn record_report(
+        &self,
+        model: &ids::Model,
+        engine: &ids::Engine,
+        running: Option<u32>,
+    ) {
         let now = Instant::now();
-        self.on(model, |pool| match running {
+        self.with_pool(model, |pool| match running {
             Some(running) => {
                 pool.report(engine, running);
                 pool.recover(engine, now);
@@ -92,13 +102,13 @@
         });
     }
 
-    /// Runs `work` on every pool kept here and returns all verdicts.
-    pub(crate) fn each(&self, mut work: impl FnMut(&mut Pool) -> Verdicts) -> Verdicts {
+    /// Runs `work` on every pool that this box keeps and returns all verdicts.
+    pub(crate) fn for_each(&self, mut work: impl FnMut(&mut Pool) -> Verdicts) -> Verdicts {
         let mut state = self.lock();
         state.pools.values_mut().flat_map(&mut work).collect()
     }
 
-    /// Gives a place back to the pool that granted it.
+    /// Releases a place in the pool that granted it.
     pub(crate) fn release(&self, slot: ids::Slot, ended: Ended, now: Instant) -> Verdicts {
         let mut state = self.lock();
         let pool = state.pools.values_mut().find(|pool| pool.holds(slot));
@@ -106,20 +116,20 @@
         out.unwrap_or_default()
     }
 
-    /// Notes a look at the pools; returns the time of the one before.
-    pub(crate) fn looked(&self, now: Instant) -> Option<Instant> {
+    /// Records the time of a tick or a request; returns the previous one.
+    pub(crate) fn record_tick(&self, now: Instant) -> Option<Instant> {
         self.lock().ticked.replace(now)
     }
 
-    /// Takes out the pools that `ends` holds for.
-    pub(crate) fn take(&self, ends: impl Fn(&ids::Model) -> bool) -> Vec<Pool> {
+    /// Removes and returns the pools of the models that `ends` selects.
+    pub(crate) fn remove_matching(&self, ends: impl Fn(&ids::Model) -> bool) -> Vec<Pool> {
         let mut state = self.lock();
         let ended = state.pools.extract_if(|model, _| ends(model));
         ended.map(|(_, pool)| pool).collect()
     }
 
-    /// Configures the pool of `model`; a new one waits for `wait` before it
-    /// grants anything.
+    /// Configures the pool of `model`; a new pool grants nothing before `wait`
+    /// has passed.
     pub(crate) fn configure(
         &self,
         model: ids::Model,
--- a/crates/router/src/probe.rs
+++ b/crates/router/src/probe.rs
@@ -1,4 +1,4 @@
-//! Looking at the engines of the pools that this box keeps.
+//! Probes the engines of the pools that this box keeps for their load.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,9 +11,9 @@
 use crate::node::Node;
 
 /// Largest load report in bytes.
-const REPORT_BYTES: u64 = 4096;
-/// Time for a report.
-const REPORT_TIME: Duration = Duration::from_secs(1);
+const REPORT_BYTES_MAX: u64 = 4096;
+/// Time that an engine has to answer with its load report.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
 #[derive(Deserialize)]
 struct Report {
@@ -26,27 +26,27 @@
     node.spawn(run(node.clone()));
 }
 
-/// Some engines are looked at this many times as often: those of a young pool,
-/// as another keeper may still be granting and only the engines' reports tell,
-/// and those that are out.
-const OFTEN: u32 = 10;
+/// Some engines are probed more often by this factor: engines of a pool that
+/// this box has just begun to keep, as another keeper may still grant places
+/// there and only the engines' reports show these, and ejected engines.
+const FREQUENT_FACTOR: u32 = 10;
 
 async fn run(node: Arc<Node>) {
-    let pause = node.settings.tuning.probe_ms.duration() / OFTEN;
+    let interval = node.settings.tuning.probe_ms.duration() / FREQUENT_FACTOR;
     let mut round = 0;
     loop {
-        let all = round % OFTEN == 0;
-        for watched in node.pools.engines() {
-            if !all && !watched.often {
+        let all = round % FREQUENT_FACTOR == 0;
+        for target in node.pools.engines() {
+            if !all && !target.is_frequent {
                 continue;
             }
             let probing = node.clone();
             node.spawn(async move {
-                probe(&probing, &watched.model, &watched.engine).await;
+                probe(&probing, &target.model, &target.engine).await;
             });
         }
-        round = (round + 1) % OFTEN;
-        Timer::after(pause).await;
+        round = (round + 1) % FREQUENT_FACTOR;
+        Timer::after(interval).await;
     }
 }
 
@@ -62,7 +62,7 @@
     let call = Call::get("/load").counted("probe");
     let answer = node
         .client
-        .whole(address, &call, REPORT_BYTES, REPORT_TIME)
+        .whole(address, &call, REPORT_BYTES_MAX, REPORT_TIMEOUT)
         .await;
     let report = answer
         .ok()
@@ -71,5 +71,5 @@
     if running.is_none() {
         metrics::counter!("tidepier_probe_failures_total").increment(1);
     }
-    node.pools.report(model, engine, running);
+    node.pools.record_report(model, engine, running);
 }
--- a/crates/router/src/start.rs
+++ b/crates/router/src/start.rs
@@ -11,7 +11,7 @@
 
 use crate::dialect::callers;
 use crate::node::Node;
-use crate::{admin, beats, follow, keeper, peers, place, probe};
+use crate::{admin, follow, heartbeat, keeper, peers, place, probe};
 
 impl Node {
     /// Binds the addresses of `settings` and starts all tasks on `executor`.
@@ -37,7 +37,7 @@
         callers::start(&node)?;
         peers::start(&node)?;
         admin::start(&node)?;
-        beats::start(&node);
+        heartbeat::start(&node);
         follow::start(&node);
         keeper::start(&node);
         place::start(&node);
--- a/crates/router/src/stop.rs
+++ b/crates/router/src/stop.rs
@@ -1,8 +1,9 @@
-//! Planned stops: told, not discovered.
+//! Graceful shutdown.
 //!
-//! A stopping router is at once not ready for the balancer and tells its
-//! peers, but goes on serving what still arrives, since the balancer lags. It
-//! stops listening after a grace, finishes its streams, and ends.
+//! A stopping router immediately fails the balancer's readiness check and
+//! notifies its peers, so that they need not detect its end. It continues to
+//! serve new requests for a grace period, as the balancer reacts late. Then it
+//! stops listening, finishes its streams, and ends.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,31 +15,31 @@
 use crate::node::Node;
 use crate::phase::Phase;
 
-/// Time between looks at what is still open.
-const CHECK: Duration = Duration::from_millis(50);
+/// Time between two checks for requests that are still open.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Node {
-    /// Stops as planned. Resolves when all requests have ended or the time
+    /// Shuts down gracefully. Resolves when all requests have ended or the time
     /// limit of the settings has passed; returns how many were still open.
     pub async fn finish(self: &Arc<Self>) -> usize {
-        let begun = Instant::now();
+        let started = Instant::now();
         self.stop.advance(Phase::Stopping);
-        self.table().leave(begun);
+        self.table().leave(started);
         self.table_changed.notify(usize::MAX);
         self.links.beat_now.notify(usize::MAX);
         log::info!("stopping open={}", self.open_requests());
         let limit = self.settings.tuning.stop_ms.duration();
         let grace = self.settings.tuning.grace_ms.duration();
-        while begun.elapsed() < grace {
-            Timer::after(CHECK).await;
+        while started.elapsed() < grace {
+            Timer::after(CHECK_INTERVAL).await;
         }
         self.stop.advance(Phase::Closed);
-        while self.open_requests() > 0 && begun.elapsed() < limit {
-            Timer::after(CHECK).await;
+        while self.open_requests() > 0 && started.elapsed() < limit {
+            Timer::after(CHECK_INTERVAL).await;
         }
-        let word = self.table().last_word();
-        self.links.broadcast(&Frame::Bye(word));
-        Timer::after(CHECK).await;
+        let rumor = self.table().last_word();
+        self.links.broadcast(&Frame::Bye(rumor));
+        Timer::after(CHECK_INTERVAL).await;
         let left = self.open_requests();
         log::info!("stopped open={left}");
         left
--- a/crates/router/src/stream.rs
+++ b/crates/router/src/stream.rs
@@ -84,7 +84,7 @@
                     })
                 }
                 Err(Failed { fault, gone }) => {
-                    place.failed();
+                    place.mark_failed();
                     job.work.avoid.push(place.engine.clone());
                     let harmless = fault.kind.answer().ran == tidepier_errors::Ran::No;
                     let again = harmless || job.work.kind.repeatable();
@@ -204,7 +204,7 @@
         let event = dialect.event(frame).ok_or(Break::Bad("malformed"))?;
         if event.last {
             self.ended = true;
-            self.node.retries.earn();
+            self.node.retries.record_success();
             return Ok(Some(event));
         }
         self.text.push_str(&event.text);
@@ -252,7 +252,7 @@
     /// Continues the answer on another engine from the text so far.
     async fn elsewhere(&mut self, mut gone: bool) -> Result<(), Fault> {
         if let Some(place) = &mut self.place {
-            place.failed();
+            place.mark_failed();
         }
         // Read on from another box, neither the request nor all its text is here.
         let known = !self.partial;
@@ -283,7 +283,7 @@
                 }
                 Err(failed) => {
                     gone = failed.gone;
-                    place.failed();
+                    place.mark_failed();
                 }
             }
         }
