--- a/crates/router/src/apply.rs
+++ b/crates/router/src/apply.rs
@@ -109,7 +109,7 @@
     );
     // The watch brings it to all boxes; this one need not wait.
     if node.current.adopt(&value).unwrap_or(false) {
-        node.links.beat_now.notify(usize::MAX);
+        node.links.beat_requested.notify(usize::MAX);
     }
     Ok(applied)
 }
--- a/crates/router/src/at_most_once.rs
+++ b/crates/router/src/at_most_once.rs
@@ -210,11 +210,11 @@
     }
     let asking = async {
         let line = dial::open(node, &keeper).await?;
-        let number = node.links.number();
+        let number = node.links.next_number();
         let answer = node.links.expect(&keeper, number);
         line.send(Frame::Claim(number, wish.clone()));
         let answered = answer.recv().await.ok();
-        node.links.forget(number);
+        node.links.cancel(number);
         match answered? {
             // Only the keeper may be partitioned from the store: this box then
             // tries itself.
@@ -282,11 +282,11 @@
 async fn ask_fate(node: &Arc<Node>, holder: &Holder) -> Fate {
     let asking = async {
         let line = dial::open(node, &holder.name).await?;
-        let number = node.links.number();
+        let number = node.links.next_number();
         let answer = node.links.expect(&holder.name, number);
         line.send(Frame::FateOf(number, holder.request));
         let answered = answer.recv().await.ok();
-        node.links.forget(number);
+        node.links.cancel(number);
         match answered? {
             Answer::Fate(fate) => Some(fate),
             _ => None,
--- a/crates/router/src/dial.rs
+++ b/crates/router/src/dial.rs
@@ -23,12 +23,12 @@
 
 /// The link to `peer`, dialled if need be. `None` when it cannot be reached.
 pub(crate) async fn open(node: &Arc<Node>, peer: &ids::Box) -> Option<Line> {
-    let slot = node.links.slot(peer);
+    let slot = node.links.dialled_slot(peer);
     let mut slot = slot.lock().await;
     if let Some(line) = slot.line() {
         return Some(line);
     }
-    if slot.pauses() {
+    if slot.in_redial_delay() {
         return None;
     }
     let address = node.table().get(peer)?.rumor.peers;
@@ -46,7 +46,7 @@
 
 /// Dials an address of which only the platform's list tells.
 pub(crate) async fn greet(node: &Arc<Node>, peer: &ids::Box, address: SocketAddr) {
-    let slot = node.links.slot(peer);
+    let slot = node.links.dialled_slot(peer);
     let mut slot = slot.lock().await;
     if slot.line().is_some() {
         return;
@@ -116,14 +116,14 @@
     };
     let receiving = async {
         while let Some(Ok(frame)) = within(IDLE, receiver.recv()).await {
-            node.links.heard(&peer);
-            (node.take)(&node, &peer, frame, &line);
+            node.links.record_received(&peer);
+            (node.on_frame)(&node, &peer, frame, &line);
         }
     };
     let idle = async {
         receiving.await;
         node.links
-            .silence(&peer)
+            .time_since_received(&peer)
             .is_some_and(|silence| silence >= IDLE)
     };
     let sent = async {
--- a/crates/router/src/dialect/answer.rs
+++ b/crates/router/src/dialect/answer.rs
@@ -1,4 +1,4 @@
-//! Reading the chunks of an answer and building whole answers from them.
+//! Reads the chunks of an engine's answer, and builds the answers for clients.
 
 use std::borrow::Cow;
 
@@ -25,7 +25,7 @@
     finish_reason: Option<Cow<'c, str>>,
 }
 
-/// One chunk of an answer, as far as the router reads it.
+/// One chunk of an answer, with the fields that the router reads.
 #[derive(Deserialize)]
 pub(crate) struct Chunk<'c> {
     #[serde(borrow)]
@@ -39,7 +39,7 @@
         serde_json::from_str(data)
     }
 
-    /// The text that it adds.
+    /// The text that the chunk adds to the answer.
     pub(crate) fn text(&self) -> &str {
         let choice = self.choices.first();
         choice
@@ -47,13 +47,13 @@
             .unwrap_or("")
     }
 
-    /// Why the answer ends with this chunk, if it does.
+    /// The reason why the answer ends, if this is its last chunk.
     pub(crate) fn finish(&self) -> Option<&str> {
         self.choices.first()?.finish_reason.as_deref()
     }
 }
 
-/// How a whole answer ended.
+/// The end of a complete answer.
 #[derive(Debug, Clone)]
 pub(crate) struct End {
     pub(crate) reason: String,
@@ -61,9 +61,10 @@
 }
 
 impl End {
-    /// The end that the last event of an answer tells.
+    /// The end of an answer, read from its last event.
     pub(crate) fn of(event: &Event) -> Self {
-        // It was parsed before: an event is the last by its reason.
+        // The chunk can be parsed: an event is marked as the last one only after
+        // a finish reason has been read from its chunk.
         let chunk = Chunk::parse(&event.data).ok();
         let reason = chunk.as_ref().and_then(Chunk::finish).unwrap_or_default();
         Self {
@@ -80,19 +81,19 @@
 }
 
 #[derive(Serialize)]
-struct WholeChoice<'a> {
+struct CompleteChoice<'a> {
     index: u32,
     message: Message<'a>,
     finish_reason: &'a str,
 }
 
-/// A whole chat completion.
+/// A complete chat completion.
 #[derive(Serialize)]
 struct Completion<'a> {
     id: &'a str,
     object: &'static str,
     model: &'a ids::Model,
-    choices: [WholeChoice<'a>; 1],
+    choices: [CompleteChoice<'a>; 1],
     usage: &'a Option<Value>,
 }
 
@@ -106,7 +107,7 @@
             id,
             object: "chat.completion",
             model,
-            choices: [WholeChoice {
+            choices: [CompleteChoice {
                 index: 0,
                 message,
                 finish_reason: &end.reason,
@@ -116,7 +117,7 @@
     }
 }
 
-/// A whole response of the responses API.
+/// A complete response of the responses API.
 fn response(id: &str, model: &ids::Model, text: &str, end: &End) -> Value {
     serde_json::json!({
         "id": id,
@@ -132,7 +133,7 @@
     })
 }
 
-/// The body of a whole answer.
+/// The body of a complete answer.
 pub(crate) fn whole(api: Api, model: &ids::Model, id: &str, text: &str, end: &End) -> Vec<u8> {
     let body = match api {
         Api::Completions => serde_json::to_vec(&Completion::new(id, model, text, end)),
@@ -141,8 +142,8 @@
     body.unwrap_or_default()
 }
 
-/// The event of the responses API for the text of one event.
-pub(crate) fn delta(text: &str, sequence: u64) -> String {
+/// The event of the responses API that carries the text of one engine event.
+pub(crate) fn delta_event(text: &str, sequence: u64) -> String {
     serde_json::json!({
         "type": "response.output_text.delta",
         "sequence_number": sequence,
@@ -152,7 +153,7 @@
 }
 
 /// The last event of the responses API.
-pub(crate) fn completed(response: &str, end: &End) -> String {
+pub(crate) fn completed_event(response: &str, end: &End) -> String {
     serde_json::json!({
         "type": "response.completed",
         "response": { "id": response, "status": "completed", "usage": end.usage },
@@ -161,7 +162,7 @@
 }
 
 /// The first event of the responses API.
-pub(crate) fn created(response: &str) -> String {
+pub(crate) fn created_event(response: &str) -> String {
     serde_json::json!({
         "type": "response.created",
         "response": { "id": response, "status": "in_progress" },
--- a/crates/router/src/dialect/chat.rs
+++ b/crates/router/src/dialect/chat.rs
@@ -1,4 +1,4 @@
-//! Chat completions and responses.
+//! Handles requests for chat completions and responses.
 
 use std::borrow::Cow;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 
 use crate::at_most_once::{self, Permit};
 use crate::dialect::answer::{self, End};
-use crate::dialect::engine::{Engine, PAUSES};
+use crate::dialect::engine::{Engine, STALL_TIMEOUTS};
 use crate::dialect::headers;
 use crate::dialect::incoming::Incoming;
 use crate::dialect::old;
@@ -39,16 +39,16 @@
     let chat = Chat::parse(api, bytes)?;
     let model = allowed_model(incoming, &chat.model)?;
     let prefix = chat.prefix(incoming.document.returning.prefix_bytes);
-    if let Some(old) = old::share(incoming, &model, prefix) {
-        return old::pass(node, incoming, old, bytes).await;
+    if let Some(old) = old::select(incoming, &model, prefix) {
+        return old::forward(node, incoming, old, bytes).await;
     }
     let target = format!("model/{model}");
-    let once = headers::once(incoming.request, false)?;
-    let permit = match &once {
+    let options = headers::at_most_once(incoming.request, false)?;
+    let permit = match &options {
         None => None,
-        Some(wish) => {
+        Some(options) => {
             let arrival = incoming.arrival(&target, bytes);
-            match at_most_once::enter(node, &arrival, wish).await? {
+            match at_most_once::enter(node, &arrival, options).await? {
                 at_most_once::Outcome::Permit(permit) => Some(permit),
                 at_most_once::Outcome::Answered(kept) => return Ok(answer::replay(kept)),
             }
@@ -69,15 +69,16 @@
         priority: incoming.account.priority as u8,
         model: model.clone(),
         prompt: chat.prompt(prefix, account),
-        returning: chat.returns(),
+        returning: chat.has_previous_turn(),
         prefer: prefer.map(|ticket| ticket.engine),
         avoid: Vec::new(),
-        // Engines always stream; another goes on from the text so far.
+        // Engines always stream, so another engine can continue from the text so
+        // far, unless the request may be executed only once.
         kind: catalog::Kind::Stream {
-            resumable: once.is_none(),
+            resumable: options.is_none(),
         },
         deadline: incoming.deadline.instant(),
-        stall_timeouts: PAUSES,
+        stall_timeouts: STALL_TIMEOUTS,
     };
     let job = Job {
         work,
@@ -101,7 +102,7 @@
     let response = response_id(node, incoming, &model, &source);
     match streamed {
         true => Ok(stream(node, api, incoming.id, response, source, permit, 0)),
-        false => whole(api, &model, &response, source, permit).await,
+        false => collect(api, &model, &response, source, permit).await,
     }
 }
 
@@ -133,8 +134,8 @@
     })
 }
 
-/// Collects the whole answer.
-async fn whole(
+/// Collects the complete answer and returns it in one body.
+async fn collect(
     api: Api,
     model: &ids::Model,
     response: &str,
@@ -142,7 +143,7 @@
     permit: Option<Permit>,
 ) -> Result<Reply, Fault> {
     let end = loop {
-        match source.next().await {
+        match source.next_event().await {
             Ok(event) if event.last => break End::of(&event),
             Ok(_) => {}
             Err(fault) => {
@@ -166,7 +167,8 @@
     Ok(reply)
 }
 
-/// Passes the answer on as it comes.
+/// Forwards the answer's events as they arrive; `skip` is the sequence number of
+/// the first one.
 pub(crate) fn stream(
     node: &Arc<Node>,
     api: Api,
@@ -178,18 +180,17 @@
 ) -> Reply {
     let (mut head, sender) = events::response();
     head.insert_header(headers::RESPONSE, response.as_str());
-    let opened = node.opened();
+    let opened = node.count_open();
     let node = node.clone();
     let pump = async move {
         let _opened = opened;
-        let outcome = pump(api, response, source, sender, skip).await;
+        let outcome = forward_events(api, response, source, sender, skip).await;
         let note = match &outcome {
             Ok(()) => "answered whole".to_string(),
             Err(fault) => format!("ended with {fault}"),
         };
         node.ring.note(node.name(), id, Hop::Caller, note);
         if let Some(permit) = permit {
-            // A streamed answer is not kept.
             permit.streamed();
         }
     };
@@ -199,44 +200,45 @@
     }
 }
 
-async fn pump(
+async fn forward_events(
     api: Api,
     response: String,
     mut source: Source,
     mut sender: events::Sender,
     mut sequence: u64,
 ) -> Result<(), Fault> {
-    let left = |_| Fault::new(Kind::Lost, "the caller left");
+    let disconnected = |_| Fault::new(Kind::Lost, "the client disconnected");
     if api == Api::Responses {
-        let created = answer::created(&response);
-        sender.send("", &created).await.map_err(left)?;
+        let created = answer::created_event(&response);
+        sender.send("", &created).await.map_err(disconnected)?;
     }
     loop {
-        match source.next().await {
+        match source.next_event().await {
             Ok(event) => {
                 let id = event.offset.to_string();
-                let data = data(api, &response, sequence, &event);
+                let data = event_data(api, &response, sequence, &event);
                 sequence += 1;
-                sender.send(&id, &data).await.map_err(left)?;
+                sender.send(&id, &data).await.map_err(disconnected)?;
                 if event.last {
-                    return sender.send("", "[DONE]").await.map_err(left);
+                    return sender.send("", "[DONE]").await.map_err(disconnected);
                 }
             }
             Err(fault) => {
-                // Said aloud: a stream that just ends could pass for whole.
+                // The error is sent as an event: a client could take a stream
+                // that just ends for a complete answer.
                 let body = serde_json::to_string(&fault.body()).unwrap_or_default();
-                sender.send("", &body).await.map_err(left)?;
+                sender.send("", &body).await.map_err(disconnected)?;
                 return Err(fault);
             }
         }
     }
 }
 
-/// An event as callers of `api` get it.
-fn data<'e>(api: Api, response: &str, sequence: u64, event: &'e Event) -> Cow<'e, str> {
+/// The data of an event in the format of `api`.
+fn event_data<'e>(api: Api, response: &str, sequence: u64, event: &'e Event) -> Cow<'e, str> {
     match (api, event.last) {
         (Api::Completions, _) => Cow::from(&event.data),
-        (Api::Responses, false) => answer::delta(&event.text, sequence).into(),
-        (Api::Responses, true) => answer::completed(response, &End::of(event)).into(),
+        (Api::Responses, false) => answer::delta_event(&event.text, sequence).into(),
+        (Api::Responses, true) => answer::completed_event(response, &End::of(event)).into(),
     }
 }
--- a/crates/router/src/dialect/callers.rs
+++ b/crates/router/src/dialect/clients.rs
@@ -1,4 +1,5 @@
-//! Callers: their connections, keys and paths.
+//! Accepts clients' connections, authenticates their requests, and routes them
+//! by path.
 
 use std::io;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -26,8 +27,8 @@
 use crate::phase::Phase;
 use crate::trace::Hop;
 
-/// Pause after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Time before connections are accepted again after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 pub(crate) fn start(node: &Arc<Node>) -> io::Result<()> {
     let address = node.settings.callers.0;
@@ -37,7 +38,7 @@
 }
 
 async fn accept(node: Arc<Node>, listener: TcpListener) {
-    let door = Arc::new(Door {
+    let endpoint = Arc::new(Endpoint {
         node: node.clone(),
         connections: AtomicUsize::new(0),
     });
@@ -48,31 +49,32 @@
             None
         };
         match next.or(closed).await {
-            Some(Ok((socket, _))) => door.take(socket),
-            Some(Err(_)) => drop(Timer::after(ACCEPT_PAUSE).await),
+            Some(Ok((socket, _))) => endpoint.spawn_connection(socket),
+            Some(Err(_)) => drop(Timer::after(ACCEPT_RETRY_DELAY).await),
             None => return,
         }
     }
 }
 
-struct Door {
+struct Endpoint {
     node: Arc<Node>,
     connections: AtomicUsize,
 }
 
-impl Door {
-    fn take(self: &Arc<Self>, socket: TcpStream) {
-        // One over the limit closes at once; the balancer tries another box.
+impl Endpoint {
+    fn spawn_connection(self: &Arc<Self>, socket: TcpStream) {
+        // A connection over the limit is closed at once, so that the balancer
+        // tries another box.
         if self.connections.load(Ordering::SeqCst) >= self.node.settings.tuning.connections {
             metrics::counter!("tidepier_connections_refused_total").increment(1);
             return;
         }
         self.connections.fetch_add(1, Ordering::SeqCst);
-        let door = self.clone();
+        let endpoint = self.clone();
         self.node.spawn(async move {
-            let limits = limits(&door.node);
-            let end = serve(socket, &limits, &*door).await;
-            door.connections.fetch_sub(1, Ordering::SeqCst);
+            let limits = limits(&endpoint.node);
+            let end = serve(socket, &limits, &*endpoint).await;
+            endpoint.connections.fetch_sub(1, Ordering::SeqCst);
             let end = match end {
                 End::Closed | End::Finished => "whole",
                 End::Left => "left",
@@ -84,12 +86,12 @@
     }
 }
 
-impl Handler for Door {
+impl Handler for Endpoint {
     async fn handle(&self, mut request: Request) -> Reply {
         let node = &self.node;
         let id = ids::Request::random();
-        let begun = Instant::now();
-        let _opened = node.opened();
+        let started = Instant::now();
+        let _opened = node.count_open();
         let answered = answer(node, id, &mut request).await;
         let mut reply = match answered {
             Ok(reply) => reply,
@@ -101,7 +103,7 @@
                 Reply::fault(&fault)
             }
         };
-        metrics::histogram!("tidepier_head_seconds").record(begun.elapsed().as_secs_f64());
+        metrics::histogram!("tidepier_head_seconds").record(started.elapsed().as_secs_f64());
         metrics::counter!("tidepier_requests_total").increment(1);
         reply
             .response
@@ -124,8 +126,8 @@
     let document = node.document()?;
     let account = authenticate(&document, request)?;
     let tuning = &node.settings.tuning;
-    let patience = headers::patience(request, tuning.deadline_ms.duration())?;
-    let deadline = Deadline::after(patience);
+    let timeout = headers::client_timeout(request, tuning.deadline_ms.duration())?;
+    let deadline = Deadline::after(timeout);
     let bytes = body::read(request, tuning.body_bytes, tuning.header_ms.duration()).await?;
     let incoming = Incoming {
         id,
--- a/crates/router/src/dialect/engine.rs
+++ b/crates/router/src/dialect/engine.rs
@@ -1,4 +1,4 @@
-//! How engines are asked: chat completions with numbered events.
+//! The protocol to engines: chat completions whose events are numbered.
 
 use std::time::Duration;
 
@@ -13,16 +13,17 @@
 use crate::dialect::request::Chat;
 use crate::engine::Dialect;
 
-/// A stuck engine is known by these: some prompts take many seconds to read,
-/// tokens then come many times a second.
-pub(crate) const PAUSES: Timeouts = Timeouts {
+/// An engine that sends nothing for longer than this counts as stalled. The
+/// prefill of some prompts takes many seconds; after it, several tokens arrive
+/// per second.
+pub(crate) const STALL_TIMEOUTS: Timeouts = Timeouts {
     first: Duration::from_secs(30),
     between: Duration::from_secs(3),
 };
 
-/// One chat as engines are asked about it.
+/// The protocol to engines for one chat.
 pub(crate) struct Engine {
-    /// The request; absent when only a running answer is read on.
+    /// The request; `None` when a running answer is only resumed.
     pub(crate) chat: Option<Chat>,
 }
 
@@ -32,7 +33,7 @@
             .chat
             .as_ref()
             .ok_or_else(|| Fault::new(Kind::Internal, "no request"))?;
-        let body = chat.for_engine(text)?;
+        let body = chat.engine_body(text)?;
         Ok(Call::post("/v1/chat/completions", body)
             .header("x-request-id", work.id.to_string())
             .header("x-priority", work.priority.to_string()))
--- a/crates/router/src/dialect/headers.rs
+++ b/crates/router/src/dialect/headers.rs
@@ -1,4 +1,4 @@
-//! What callers say in headers and queries.
+//! Reads the clients' headers and query parameters.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 pub(crate) const REQUEST: &str = "tidepier-request";
 /// The header that carries the response id of an answer.
 pub(crate) const RESPONSE: &str = "tidepier-response";
-/// The header with which a caller sets a deadline, in milliseconds from now.
+/// The header with which a client sets its time-out, in milliseconds.
 const DEADLINE: &str = "tidepier-deadline-ms";
 /// Longest idempotency key in bytes.
-const KEY_BYTES: usize = 255;
+const KEY_BYTES_MAX: usize = 255;
 
 /// The bearer key of a request.
 pub(crate) fn bearer(request: &Request) -> Option<&str> {
@@ -22,12 +22,12 @@
     header.strip_prefix("Bearer ").map(str::trim)
 }
 
-/// The time that a request names for its answer, or the default.
+/// The time-out that a request names for its answer, or the default.
 ///
 /// # Errors
 ///
-/// [`Kind::BadRequest`] when the header is no positive number.
-pub(crate) fn patience(request: &Request, default: Duration) -> Result<Duration, Fault> {
+/// [`Kind::BadRequest`] when the header is not a number in the allowed range.
+pub(crate) fn client_timeout(request: &Request, default: Duration) -> Result<Duration, Fault> {
     let Some(values) = request.header(DEADLINE) else {
         return Ok(default);
     };
@@ -41,23 +41,24 @@
     }
 }
 
-/// Whether a request is marked as not repeatable, by its headers or because
-/// `declared` says that its target is.
+/// The options of a request that may be executed at most once: one that its
+/// headers mark as not repeatable, one with an idempotency key, or one whose
+/// target is `declared` as not repeatable. `None` for any other.
 ///
 /// # Errors
 ///
 /// [`Kind::BadRequest`] for a header that cannot be read.
-pub(crate) fn once(request: &Request, declared: bool) -> Result<Option<Options>, Fault> {
+pub(crate) fn at_most_once(request: &Request, declared: bool) -> Result<Option<Options>, Fault> {
     let header = |name: &str| request.header(name).map(|values| values.last().as_str());
     let idempotency = header("idempotency-key").map(str::to_string);
     if idempotency
         .as_ref()
-        .is_some_and(|key| key.is_empty() || key.len() > KEY_BYTES)
+        .is_some_and(|key| key.is_empty() || key.len() > KEY_BYTES_MAX)
     {
-        let detail = format!("idempotency-key: allowed are 1 to {KEY_BYTES} bytes");
+        let detail = format!("idempotency-key: allowed are 1 to {KEY_BYTES_MAX} bytes");
         return Err(Fault::new(Kind::BadRequest, detail));
     }
-    let marked = match header("tidepier-repeatable") {
+    let not_repeatable = match header("tidepier-repeatable") {
         None | Some("yes") => false,
         Some("no") => true,
         Some(other) => {
@@ -65,11 +66,11 @@
             return Err(Fault::new(Kind::BadRequest, detail));
         }
     };
-    let wanted = marked || declared || idempotency.is_some();
+    let wanted = not_repeatable || declared || idempotency.is_some();
     Ok(wanted.then_some(Options { idempotency }))
 }
 
-/// The offset after the last one that the caller has.
+/// The offset after the last one that the client has received.
 ///
 /// # Errors
 ///
--- a/crates/router/src/dialect/incoming.rs
+++ b/crates/router/src/dialect/incoming.rs
@@ -1,4 +1,4 @@
-//! A caller's request that was let in, with all that was found out about it.
+//! An authenticated request of a client.
 
 use tidepier_config::document::{Account, Document};
 use tidepier_http::http_types::Request;
@@ -7,7 +7,8 @@
 use crate::at_most_once::Arrival;
 use crate::deadline::Deadline;
 
-/// A caller's request with all that was found out about it.
+/// An authenticated request of a client, with its account, the document by
+/// which it is handled, and its deadline.
 pub(crate) struct Incoming<'a> {
     pub(crate) id: ids::Request,
     pub(crate) account: &'a Account,
@@ -17,7 +18,7 @@
 }
 
 impl Incoming<'_> {
-    /// This request as one that may run at most once.
+    /// This request as one that may be executed at most once.
     pub(crate) fn arrival<'a>(&'a self, target: &'a str, body: &'a [u8]) -> Arrival<'a> {
         Arrival {
             id: self.id,
--- a/crates/router/src/dialect/mod.rs
+++ b/crates/router/src/dialect/mod.rs
@@ -1,14 +1,14 @@
-//! The interface that callers and engines speak: OpenAI-compatible, with headers
-//! of tidepier's own.
+//! The protocol of clients and engines: OpenAI-compatible, with additional
+//! headers of tidepier.
 //!
-//! Paths, headers, bodies, chunks and events are read and written here and
-//! nowhere else. What is asked becomes a [`Work`](tidepier_core::work::Work),
-//! what comes back is read from [`Event`](tidepier_core::answer::Event)s; placing,
-//! queueing, claiming, repeating and resuming know no more than that.
+//! Paths, headers, bodies, chunks and events are read and written only in this
+//! module. A request is converted to a [`Work`](tidepier_core::work::Work), and
+//! the answer is read as [`Event`](tidepier_core::answer::Event)s. Placing,
+//! queueing, claiming, retrying and resuming use only these two types.
 
 pub(crate) mod answer;
-pub(crate) mod callers;
 mod chat;
+pub(crate) mod clients;
 mod engine;
 pub(crate) mod headers;
 mod incoming;
--- a/crates/router/src/dialect/old.rs
+++ b/crates/router/src/dialect/old.rs
@@ -1,4 +1,4 @@
-//! Old back ends: a declared share of chats is passed through to them.
+//! Forwards a share of the chats to old back ends, as the document declares it.
 
 use std::sync::Arc;
 
@@ -13,14 +13,14 @@
 use crate::node::Node;
 use crate::trace::Hop;
 
-/// Largest answer that is not streamed, in bytes.
-const ANSWER_BYTES: u64 = 8 << 20;
+/// Largest answer without streaming, in bytes.
+const ANSWER_BYTES_MAX: u64 = 8 << 20;
 /// The data of a stream's last event.
 const DONE: &str = "[DONE]";
 
-/// The entry that sends this chat to an old back end, if one does. The first
-/// entry for its model and account decides.
-pub(crate) fn share<'d>(
+/// The document's entry by which this chat goes to an old back end, if any. The
+/// first entry for the chat's model and account decides.
+pub(crate) fn select<'d>(
     incoming: &Incoming<'d>,
     model: &ids::Model,
     prefix: ids::Prefix,
@@ -36,12 +36,12 @@
     (prefix.0 % 100 < u64::from(old.percent)).then_some(old)
 }
 
-/// Passes a chat through.
+/// Forwards a chat to an old back end.
 ///
 /// # Errors
 ///
 /// [`Kind::NoEngine`] when nothing was sent, else [`Kind::Lost`].
-pub(crate) async fn pass(
+pub(crate) async fn forward(
     node: &Arc<Node>,
     incoming: &Incoming<'_>,
     old: &Old,
@@ -56,7 +56,7 @@
         .once();
     let sending = async {
         let sent = node.client.send(address, &call).await;
-        sent.map_err(|failure| lost(&failure))
+        sent.map_err(|failure| sending_fault(&failure))
     };
     let answer = incoming.deadline.bound(Kind::Deadline, sending).await?;
     let mime = answer
@@ -66,8 +66,8 @@
     if answer.status() == 200 && mime.starts_with("text/event-stream") {
         return Ok(stream(node, answer));
     }
-    let whole = answer.whole(ANSWER_BYTES);
-    let reading = async { whole.await.map_err(|failure| lost(&failure)) };
+    let whole = answer.whole(ANSWER_BYTES_MAX);
+    let reading = async { whole.await.map_err(|failure| sending_fault(&failure)) };
     let whole = incoming.deadline.bound(Kind::Deadline, reading).await?;
     let mut reply = Reply::text(whole.status, String::new());
     reply.response.set_body(whole.bytes);
@@ -75,7 +75,7 @@
     Ok(reply)
 }
 
-fn lost(failure: &Failure) -> Fault {
+fn sending_fault(failure: &Failure) -> Fault {
     let detail = format!("the old back end: {failure}");
     match failure {
         Failure::Unsent(_) => Fault::new(Kind::NoEngine, detail),
@@ -83,14 +83,15 @@
     }
 }
 
-/// Passes events through; a stream without its end mark ends with an error.
+/// Forwards the events; a stream that ends without its end mark gets an error
+/// event.
 fn stream(node: &Arc<Node>, answer: Answer) -> Reply {
     let (response, mut sender) = events::response();
-    let opened = node.opened();
+    let opened = node.count_open();
     let pump = async move {
         let _opened = opened;
         let mut reader = Reader::new(answer.reader());
-        // An old back end numbers nothing; callers expect offsets.
+        // Old back ends do not number their events, but clients expect offsets.
         let mut offset = 0_u64;
         while let Ok(Some(frame)) = reader.next().await {
             let last = frame.data == DONE;
@@ -106,7 +107,8 @@
         }
         let fault = Fault::new(Kind::Broken, "the old back end broke off");
         let body = serde_json::to_string(&fault.body()).unwrap_or_default();
-        // The caller may have left; there is nobody else to tell.
+        // A failure to send means that the client has disconnected, so there is
+        // no one to report it to.
         let _ = sender.send("", &body).await;
     };
     Reply {
--- a/crates/router/src/dialect/request.rs
+++ b/crates/router/src/dialect/request.rs
@@ -8,14 +8,14 @@
 use tidepier_errors::{Fault, Kind};
 use tidepier_ids as ids;
 
-/// Messages that identify a chat's stable start.
+/// Number of first messages that make up a chat's stable start.
 const PREFIX_MESSAGES: usize = 2;
-/// Bytes of English text for each token, as common tokenizers have it.
+/// Bytes of English text per token with common tokenizers.
 const BYTES_PER_TOKEN: u32 = 4;
-/// Fields that bound the tokens of the answer.
+/// Fields that limit the number of tokens of the answer.
 const OUTPUT_FIELDS: [&str; 2] = ["max_completion_tokens", "max_tokens"];
 
-/// Which of the two APIs a caller uses.
+/// Which of the two APIs a client uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Api {
     /// `/v1/chat/completions`.
@@ -32,11 +32,11 @@
     rest: Map<String, Value>,
 }
 
-/// A caller's request. Fields that the router does not know go to the engine
-/// as they are.
+/// A client's request. Fields that the router does not know are sent to the
+/// engine unchanged.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Chat {
-    /// The model that is asked.
+    /// The model that the client requests.
     pub(crate) model: String,
     messages: Vec<Message>,
     #[serde(default)]
@@ -66,14 +66,14 @@
     ///
     /// # Errors
     ///
-    /// [`Kind::BadRequest`] that says what is wrong where.
+    /// [`Kind::BadRequest`] that names what is wrong and where.
     pub(crate) fn parse(api: Api, bytes: &[u8]) -> Result<Self, Fault> {
         let bad = |error: serde_json::Error| Fault::new(Kind::BadRequest, error.to_string());
         let chat: Chat = match api {
             Api::Completions => serde_json::from_slice(bytes).map_err(bad)?,
             Api::Responses => {
                 let body: ResponsesBody = serde_json::from_slice(bytes).map_err(bad)?;
-                body.chat().map_err(bad)?
+                body.into_chat().map_err(bad)?
             }
         };
         if chat.messages.is_empty() {
@@ -86,8 +86,8 @@
     }
 
     /// The hash of the stable start: the first messages, up to `most` bytes.
-    /// Later turns leave it as it is. Accounts that read the same document
-    /// share it, so that the document is cached once.
+    /// Later turns of the chat do not change it. Accounts that ask about the same
+    /// text share the hash, so that engines cache the text once.
     pub(crate) fn prefix(&self, most: usize) -> ids::Prefix {
         let mut start = Vec::with_capacity(most.min(8192));
         for message in self.messages.iter().take(PREFIX_MESSAGES) {
@@ -105,9 +105,9 @@
         ids::Prefix::of(&start)
     }
 
-    /// The hash of the first messages as a whole, which this chat alone has
-    /// and keeps through all its turns.
-    fn identity(&self, account: &ids::Account) -> ids::Chat {
+    /// The hash of the account and the complete first messages. It identifies
+    /// this chat and stays the same in all its turns.
+    fn chat_hash(&self, account: &ids::Account) -> ids::Chat {
         let texts =
             self.messages
                 .iter()
@@ -121,8 +121,9 @@
         ids::Chat::of(account.chain(texts.iter().map(|text| text.as_bytes())))
     }
 
-    /// The parts of the prompt: the start that others share, and the chat's own.
-    /// Sizes are estimates by length; nothing is decided by them yet.
+    /// The parts of the prompt: the start that other chats share, and the chat's
+    /// own part. Their sizes are estimates from the length; no decision uses them
+    /// yet.
     pub(crate) fn prompt(&self, prefix: ids::Prefix, account: &ids::Account) -> Prompt {
         let tokens = |message: &Message| message.bytes() / BYTES_PER_TOKEN;
         let start = self.messages.iter().take(PREFIX_MESSAGES).map(tokens).sum();
@@ -134,7 +135,7 @@
             tokens: start,
         };
         let own = Part {
-            id: self.identity(account).0.into(),
+            id: self.chat_hash(account).0.into(),
             tokens: rest,
         };
         Prompt {
@@ -145,16 +146,16 @@
         }
     }
 
-    /// Whether the chat has had a turn before.
-    pub(crate) fn returns(&self) -> bool {
+    /// Whether the chat has had an earlier turn.
+    pub(crate) fn has_previous_turn(&self) -> bool {
         self.messages
             .iter()
             .any(|message| message.role == "assistant")
     }
 
-    /// The body for an engine, which always streams; `text` is an answer so
-    /// far that the engine is to continue.
-    pub(crate) fn for_engine(&self, text: &str) -> Result<Vec<u8>, Fault> {
+    /// The body for an engine, which always streams; `text` is the answer so far
+    /// that the engine continues.
+    pub(crate) fn engine_body(&self, text: &str) -> Result<Vec<u8>, Fault> {
         let mut chat = self.clone();
         chat.stream = true;
         if !text.is_empty() {
@@ -173,7 +174,8 @@
 }
 
 impl Message {
-    /// Length of its text; of other contents nothing is known.
+    /// The length of the text; 0 for content that is not text, as its size in
+    /// tokens is not known.
     fn bytes(&self) -> u32 {
         let bytes = self.content.as_str().map_or(0, str::len);
         u32::try_from(bytes).unwrap_or(u32::MAX)
@@ -181,7 +183,7 @@
 }
 
 impl ResponsesBody {
-    fn chat(self) -> Result<Chat, serde_json::Error> {
+    fn into_chat(self) -> Result<Chat, serde_json::Error> {
         let mut messages = Vec::new();
         if let Some(text) = self.instructions {
             messages.push(message("system", Value::String(text)));
--- a/crates/router/src/dialect/resume.rs
+++ b/crates/router/src/dialect/resume.rs
@@ -1,4 +1,4 @@
-//! Reading on an answer, through any box: `GET /v1/responses/ID`.
+//! Resumes the stream of an answer through any box: `GET /v1/responses/ID`.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use tidepier_errors::{Fault, Kind};
 use tidepier_http::server::Reply;
 
-use crate::dialect::engine::{Engine, PAUSES};
+use crate::dialect::engine::{Engine, STALL_TIMEOUTS};
 use crate::dialect::incoming::Incoming;
 use crate::dialect::request::Api;
 use crate::dialect::{chat, headers};
@@ -17,12 +17,12 @@
 use crate::stream::Source;
 use crate::trace::Hop;
 
-/// Continues the stream of a response id after the offset that the caller has.
+/// Resumes the stream of a response id after the offset that the client has.
 ///
 /// # Errors
 ///
-/// [`Kind::NotFound`] for an id that is not this fleet's or not the account's,
-/// without telling which; [`Kind::Gone`] for an answer no longer kept.
+/// [`Kind::NotFound`] for an id that belongs to another fleet or account,
+/// without telling which; [`Kind::Gone`] for an answer that is no longer kept.
 pub(crate) async fn handle(
     node: &Arc<Node>,
     incoming: &Incoming<'_>,
@@ -45,10 +45,11 @@
         returning: true,
         prefer: None,
         avoid: Vec::new(),
-        // The request is not known here, so that no other engine can go on.
+        // This box does not have the request, so no other engine can continue
+        // its answer.
         kind: catalog::Kind::Stream { resumable: false },
         deadline: incoming.deadline.instant(),
-        stall_timeouts: PAUSES,
+        stall_timeouts: STALL_TIMEOUTS,
     };
     let job = Job {
         work,
--- a/crates/router/src/dialect/service.rs
+++ b/crates/router/src/dialect/service.rs
@@ -1,4 +1,4 @@
-//! Plain services: `/services/NAME/...`.
+//! Forwards requests to plain services: `/services/NAME/...`.
 
 use std::sync::Arc;
 
@@ -31,9 +31,9 @@
 ) -> Result<Reply, Fault> {
     let service = allowed(incoming, name)?;
     let request = incoming.request;
-    let posts = request.method() != Method::Get;
-    let declared = posts && service.not_repeatable.iter().any(|path| path == rest);
-    let marked = headers::once(request, declared)?;
+    let is_post = request.method() != Method::Get;
+    let declared = is_post && service.not_repeatable.iter().any(|path| path == rest);
+    let options = headers::at_most_once(request, declared)?;
     let mut call = Call {
         method: request.method(),
         path: path(request, rest),
@@ -48,17 +48,17 @@
             call = call.header(name, values.last().as_str());
         }
     }
-    let Some(marked) = marked else {
+    let Some(options) = options else {
         let answer = send(node, incoming, service, &call).await?;
         return Ok(reply(answer));
     };
     let target = format!("service/{name}/{rest}");
     let arrival = incoming.arrival(&target, &body);
-    let permit = match at_most_once::enter(node, &arrival, &marked).await? {
+    let permit = match at_most_once::enter(node, &arrival, &options).await? {
         at_most_once::Outcome::Permit(permit) => permit,
         at_most_once::Outcome::Answered(kept) => return Ok(answer::replay(kept)),
     };
-    single(node, incoming, service, &call.once(), permit).await
+    send_once(node, incoming, service, &call.once(), permit).await
 }
 
 fn allowed<'d>(incoming: &Incoming<'d>, name: &str) -> Result<&'d Service, Fault> {
@@ -79,8 +79,8 @@
     }
 }
 
-/// Sends a call that may run only once.
-async fn single(
+/// Sends a call that may be executed at most once.
+async fn send_once(
     node: &Arc<Node>,
     incoming: &Incoming<'_>,
     service: &Service,
@@ -101,8 +101,8 @@
     }
 }
 
-/// Servers of the service, those of this hall first; among them in an order
-/// that differs by request.
+/// Servers of the service, those of this hall first; within each group, the
+/// request's id rotates the order.
 fn servers<'s>(node: &Node, incoming: &Incoming<'_>, service: &'s Service) -> Vec<&'s Server> {
     let mut servers: Vec<_> = service.servers.iter().collect();
     let turn = incoming.id.0 as usize % servers.len().max(1);
@@ -111,8 +111,8 @@
     servers
 }
 
-/// Tries servers until one has taken the call. After a call that may have run,
-/// another server is tried only if it may be repeated.
+/// Tries servers until one answers. After a call that may have been executed,
+/// another server is tried only if the call may be repeated.
 async fn send(
     node: &Arc<Node>,
     incoming: &Incoming<'_>,
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -105,7 +105,7 @@
     match adopted {
         Ok(true) => {
             metrics::counter!("tidepier_configuration_taken_total", "from" => source).increment(1);
-            node.links.beat_now.notify(usize::MAX);
+            node.links.beat_requested.notify(usize::MAX);
         }
         Ok(false) => {}
         Err(error) => {
--- a/crates/router/src/heartbeat.rs
+++ b/crates/router/src/heartbeat.rs
@@ -63,7 +63,7 @@
         last = Instant::now();
         if frozen {
             // No peer was unresponsive: this process did not run.
-            node.links.excuse();
+            node.links.reset_received();
             keeper::reset(&node);
             metrics::counter!("tidepier_own_freezes_total").increment(1);
             log::warn!("this box was frozen");
@@ -75,7 +75,7 @@
         for sight in expired {
             members::apply_change(&node, Some(sight));
         }
-        let early = node.links.beat_now.listen();
+        let early = node.links.beat_requested.listen();
         let waiting = async {
             Timer::after(tuning.heartbeat_ms.duration()).await;
         };
@@ -130,7 +130,7 @@
     let Some(member) = table.get(name) else {
         return false;
     };
-    let received = node.links.silence(name);
+    let received = node.links.time_since_received(name);
     let silence = received.unwrap_or_else(|| member.since.elapsed());
     member.hall == *node.hall() && silence > limit
 }
@@ -140,7 +140,7 @@
     let limit = node.settings.tuning.suspect_ms.duration();
     if node
         .links
-        .silence(&target)
+        .time_since_received(&target)
         .is_some_and(|silence| silence < limit)
     {
         line.send(Frame::Reached(target, true));
--- a/crates/router/src/keeper.rs
+++ b/crates/router/src/keeper.rs
@@ -269,7 +269,7 @@
         Verdict::Refused(fault) => Err(fault),
         Verdict::Waits => return,
     };
-    let answered = node.links.answer(number, Answer::Place(result));
+    let answered = node.links.deliver(number, Answer::Place(result));
     if let Err(Answer::Place(Ok(grant))) = answered {
         // The request has ended in the meantime: its place is released at once.
         release(node, grant.slot, Ended::Served);
--- a/crates/router/src/links.rs
+++ b/crates/router/src/links.rs
@@ -1,8 +1,9 @@
-//! The links of this box: those it dialled, and those that others dialled.
+//! The state of this box's links: those that it dialled, and those that peers
+//! dialled.
 //!
-//! Their state alone: who can be sent to, who was heard when, which answers are
-//! waited for. Dialling and moving frames is in `dial`, which knows this module
-//! and is not known here.
+//! This module holds which peers can be sent to, when each was last received
+//! from, and which answers are pending. The `dial` module dials links and moves
+//! frames; it depends on this module and not the other way round.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -19,10 +20,11 @@
 use tidepier_wire::frame::{Claimed, Fate};
 use tidepier_wire::Frame;
 
-/// Frames that may wait for one link; a link that falls behind is closed.
-const QUEUE: usize = 4096;
-/// Time after a failed dial in which no other is made.
-const DIAL_PAUSE: Duration = Duration::from_millis(200);
+/// Most frames that wait for one link; a link that falls further behind is
+/// closed.
+const QUEUED_FRAMES_MAX: usize = 4096;
+/// Time after a failed dial before the peer is dialled again.
+const REDIAL_DELAY: Duration = Duration::from_millis(200);
 
 /// An answer that a task of this box waits for.
 pub(crate) enum Answer {
@@ -59,7 +61,7 @@
     }
 }
 
-/// The link that this box dials to one peer.
+/// The link that this box dials to one peer, or the last failure to do so.
 #[derive(Default)]
 pub(crate) struct Dialled {
     line: Option<Line>,
@@ -73,17 +75,17 @@
         self.line.clone()
     }
 
-    /// Whether the last dial has failed so recently that no other is made.
-    pub(crate) fn pauses(&self) -> bool {
-        self.failed.is_some_and(|at| at.elapsed() < DIAL_PAUSE)
+    /// Whether the last dial failed less than [`REDIAL_DELAY`] ago.
+    pub(crate) fn in_redial_delay(&self) -> bool {
+        self.failed.is_some_and(|at| at.elapsed() < REDIAL_DELAY)
     }
 
-    /// Takes in a link that was dialled.
+    /// Records a dialled link.
     pub(crate) fn dialled(&mut self, line: Line) {
         self.line = Some(line);
     }
 
-    /// Notes that a dial has failed.
+    /// Records a failed dial.
     pub(crate) fn failed(&mut self) {
         self.failed = Some(Instant::now());
     }
@@ -94,54 +96,55 @@
 pub(crate) struct Links {
     dialled: Mutex<HashMap<ids::Box, Arc<AsyncMutex<Dialled>>>>,
     accepted: Mutex<HashMap<ids::Box, Line>>,
-    heard: Mutex<HashMap<ids::Box, Instant>>,
+    last_received: Mutex<HashMap<ids::Box, Instant>>,
     exchanged: Mutex<HashMap<ids::Box, Instant>>,
     pending: Mutex<HashMap<u64, Pending>>,
     number: AtomicU64,
     fetching: AtomicBool,
-    /// Asks for heartbeats without waiting for their time.
-    pub(crate) beat_now: Event,
+    /// Notified when heartbeats are to be sent at once, before their interval has
+    /// passed.
+    pub(crate) beat_requested: Event,
 }
 
 impl Links {
     /// A number that is unique on this box.
-    pub(crate) fn number(&self) -> u64 {
+    pub(crate) fn next_number(&self) -> u64 {
         self.number.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// The place of the link that this box dials to `peer`. Whoever locks it is
-    /// the only one to dial.
-    pub(crate) fn slot(&self, peer: &ids::Box) -> Arc<AsyncMutex<Dialled>> {
+    /// The entry of the link that this box dials to `peer`. Only the task that
+    /// holds its lock dials.
+    pub(crate) fn dialled_slot(&self, peer: &ids::Box) -> Arc<AsyncMutex<Dialled>> {
         lock(&self.dialled).entry(peer.clone()).or_default().clone()
     }
 
-    /// Opens the sending side of a link with `peer`; the frames to be sent come
-    /// out of the receiver.
+    /// Creates the sending side of a link with `peer`; the receiver yields the
+    /// frames to send.
     pub(crate) fn line(&self, peer: &ids::Box) -> (Line, Receiver<Frame>) {
-        let (queue, frames) = channel::bounded(QUEUE);
+        let (queue, frames) = channel::bounded(QUEUED_FRAMES_MAX);
         let line = Line {
             queue,
-            number: self.number(),
+            number: self.next_number(),
         };
-        self.heard(peer);
+        self.record_received(peer);
         metrics::gauge!("tidepier_links").increment(1.0);
         (line, frames)
     }
 
-    /// Notes a link that `peer` dialled.
+    /// Records a link that `peer` dialled.
     pub(crate) fn accept(&self, peer: ids::Box, line: Line) {
         lock(&self.accepted).insert(peer, line);
     }
 
-    /// Closes a link that has ended, and all waits for its peer.
+    /// Closes a link that has ended, and cancels all pending answers of its peer.
     pub(crate) fn close(&self, peer: &ids::Box, line: &Line) {
         line.queue.close();
         metrics::gauge!("tidepier_links").decrement(1.0);
-        self.ended(peer, line.number);
-        self.abandon(peer);
+        self.remove_accepted(peer, line.number);
+        self.cancel_all(peer);
     }
 
-    /// Sends to a peer on whatever link is open.
+    /// Sends to a peer on any open link; returns whether the frame was queued.
     pub(crate) fn send(&self, peer: &ids::Box, frame: Frame) -> bool {
         let line = lock(&self.accepted).get(peer).cloned();
         if let Some(line) = line.filter(|line| line.is_open()) {
@@ -170,34 +173,36 @@
         }
     }
 
-    /// Notes that `peer` has just been heard.
-    pub(crate) fn heard(&self, peer: &ids::Box) {
-        lock(&self.heard).insert(peer.clone(), Instant::now());
+    /// Records that something has just been received from `peer`.
+    pub(crate) fn record_received(&self, peer: &ids::Box) {
+        lock(&self.last_received).insert(peer.clone(), Instant::now());
     }
 
-    /// Time since `peer` was heard.
-    pub(crate) fn silence(&self, peer: &ids::Box) -> Option<Duration> {
-        lock(&self.heard).get(peer).map(Instant::elapsed)
+    /// Time since something was last received from `peer`.
+    pub(crate) fn time_since_received(&self, peer: &ids::Box) -> Option<Duration> {
+        lock(&self.last_received).get(peer).map(Instant::elapsed)
     }
 
-    /// Forgets all silences: this box itself was frozen.
-    pub(crate) fn excuse(&self) {
+    /// Counts all peers as just received from, after this process was frozen.
+    pub(crate) fn reset_received(&self) {
         let now = Instant::now();
-        lock(&self.heard).values_mut().for_each(|at| *at = now);
+        lock(&self.last_received)
+            .values_mut()
+            .for_each(|at| *at = now);
     }
 
     /// Whether the last full exchange of tables with `peer` is longer ago than
-    /// `pause`; if so, notes one as made now.
-    pub(crate) fn exchange_due(&self, peer: &ids::Box, pause: Duration) -> bool {
+    /// `interval`; if so, records one as made now.
+    pub(crate) fn exchange_due(&self, peer: &ids::Box, interval: Duration) -> bool {
         let mut exchanged = lock(&self.exchanged);
-        let due = exchanged.get(peer).is_none_or(|at| at.elapsed() > pause);
+        let due = exchanged.get(peer).is_none_or(|at| at.elapsed() > interval);
         if due {
             exchanged.insert(peer.clone(), Instant::now());
         }
         due
     }
 
-    /// Open links.
+    /// Number of open links.
     pub(crate) fn count(&self) -> usize {
         let dialled: Vec<_> = lock(&self.dialled).keys().cloned().collect();
         let dialled = dialled
@@ -208,7 +213,7 @@
         dialled + accepted.values().filter(|line| line.is_open()).count()
     }
 
-    /// Waits for an answer to request `number` from `peer`.
+    /// Registers a pending answer to request `number` from `peer`.
     pub(crate) fn expect(&self, peer: &ids::Box, number: u64) -> Receiver<Answer> {
         let (answer, receiver) = channel::bounded(1);
         let pending = Pending {
@@ -219,13 +224,14 @@
         receiver
     }
 
-    /// Gives up waiting; returns whether the answer had not come yet.
-    pub(crate) fn forget(&self, number: u64) -> bool {
+    /// Removes a pending answer; returns whether it had not arrived yet.
+    pub(crate) fn cancel(&self, number: u64) -> bool {
         lock(&self.pending).remove(&number).is_some()
     }
 
-    /// Hands an answer to whoever waits; gives it back if nobody does.
-    pub(crate) fn answer(&self, number: u64, answer: Answer) -> Result<(), Answer> {
+    /// Delivers an answer to the task that waits for it; returns it as the error
+    /// if no task does.
+    pub(crate) fn deliver(&self, number: u64, answer: Answer) -> Result<(), Answer> {
         let Some(pending) = lock(&self.pending).remove(&number) else {
             return Err(answer);
         };
@@ -235,22 +241,22 @@
             .map_err(|error| error.into_inner())
     }
 
-    /// Ends all waits for `peer`.
-    fn abandon(&self, peer: &ids::Box) {
+    /// Removes all pending answers of `peer`; the tasks that wait get an error.
+    fn cancel_all(&self, peer: &ids::Box) {
         lock(&self.pending).retain(|_, pending| pending.peer != *peer);
     }
 
-    /// Whether nothing is being fetched yet; if so, notes that it is.
+    /// Begins a fetch of the configuration; returns whether none was in progress.
     pub(crate) fn begin_fetch(&self) -> bool {
         !self.fetching.swap(true, Ordering::SeqCst)
     }
 
-    /// Notes that nothing is being fetched any more.
+    /// Ends the fetch of the configuration.
     pub(crate) fn end_fetch(&self) {
         self.fetching.store(false, Ordering::SeqCst);
     }
 
-    fn ended(&self, peer: &ids::Box, number: u64) {
+    fn remove_accepted(&self, peer: &ids::Box, number: u64) {
         let mut accepted = lock(&self.accepted);
         if accepted.get(peer).is_some_and(|line| line.number == number) {
             accepted.remove(peer);
--- a/crates/router/src/node.rs
+++ b/crates/router/src/node.rs
@@ -1,4 +1,4 @@
-//! One running router and what its tasks share.
+//! One running router and the state that its tasks share.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
@@ -29,19 +29,19 @@
 use crate::seal::Sealer;
 use crate::trace::Ring;
 
-/// Takes one frame of a peer; answers go to its line.
-pub(crate) type Take = fn(&Arc<Node>, &ids::Box, Frame, &Line);
+/// Handles one frame of a peer; answers are sent to the peer's line.
+pub(crate) type FrameHandler = fn(&Arc<Node>, &ids::Box, Frame, &Line);
 
 /// A running router.
 pub struct Node {
-    /// Its settings.
+    /// The settings of the process.
     pub settings: Settings,
-    /// Weak, as the executor's tasks hold the node: whoever owns the executor
+    /// Weak, as the executor's tasks hold the node: the owner of the executor
     /// ends all tasks by dropping it.
     executor: Weak<Executor<'static>>,
     pub(crate) network: Arc<dyn Dial>,
     pub(crate) table: Mutex<Table>,
-    /// Signals that the table changed.
+    /// Notified when the table changes.
     pub(crate) table_changed: Event,
     pub(crate) current: Current,
     pub(crate) client: Pool,
@@ -50,9 +50,9 @@
     pub(crate) holdings: Holdings,
     pub(crate) pressures: Pressures,
     pub(crate) links: Links,
-    /// Who takes the frames of other boxes. A plain function, given at the
-    /// start, so that links need not know what frames are about.
-    pub(crate) take: Take,
+    /// Handles the frames of other boxes. It is a plain function, set at the
+    /// start, so that the modules of links do not depend on the handlers.
+    pub(crate) on_frame: FrameHandler,
     pub(crate) claims: Pages,
     pub(crate) fates: Fates,
     pub(crate) sealer: Sealer,
@@ -63,21 +63,21 @@
 }
 
 impl Node {
-    /// What the tasks of one router share, before any of them runs.
+    /// Creates the shared state, before any task runs.
     pub(crate) fn new(
         network: Arc<dyn Dial>,
         settings: Settings,
         executor: &Arc<Executor<'static>>,
-        take: Take,
+        on_frame: FrameHandler,
     ) -> Self {
         let client = Pool::over(network.clone());
         let platform = &settings.platform;
         let limit = settings.tuning.store_ms.duration();
         let store = Client::new(client.clone(), platform.store.0);
-        let kept = settings.tuning.claim_ms.duration();
+        let retention = settings.tuning.claim_ms.duration();
         let fleet = settings.fleet.clone();
         let pause = settings.tuning.claim_pause_ms.duration();
-        let claims = Pages::new(store.clone(), limit, fleet, kept, pause, executor);
+        let claims = Pages::new(store.clone(), limit, fleet, retention, pause, executor);
         let me = Rumor {
             name: settings.name.clone(),
             hall: settings.hall.clone(),
@@ -99,7 +99,7 @@
             holdings: Holdings::default(),
             pressures: Pressures::default(),
             links: Links::default(),
-            take,
+            on_frame,
             claims,
             fates: Fates::default(),
             sealer: Sealer::new(&settings.seal_keys),
@@ -111,7 +111,7 @@
         }
     }
 
-    /// This box.
+    /// The name of this box.
     pub fn name(&self) -> &ids::Box {
         &self.settings.name
     }
@@ -121,17 +121,17 @@
         &self.settings.hall
     }
 
-    /// The generation in force here.
+    /// The generation of the document in force at this box.
     pub fn generation(&self) -> ids::Generation {
         self.current.generation()
     }
 
-    /// Requests and streams that are open.
+    /// Number of open requests and streams.
     pub fn open_requests(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
 
-    /// How far this router is with stopping.
+    /// The phase of this router's shutdown.
     pub fn phase(&self) -> Phase {
         self.stop.phase()
     }
@@ -163,8 +163,9 @@
         }
     }
 
-    /// Notes the pressure that the keeper of an engine's pool told; an engine
-    /// that no document names any more has no pool.
+    /// Records the pressure that the keeper of an engine's pool reported. Does
+    /// nothing for an engine that the document no longer names, as it belongs to
+    /// no pool.
     pub(crate) fn record_pressure(&self, engine: &ids::Engine, pressure: Pressure) {
         let document = self.current.document();
         let found = document
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Starts a task of this node; does nothing while the node ends.
+    /// Starts a task of this node; does nothing if the executor has been dropped.
     pub(crate) fn spawn(&self, work: impl std::future::Future<Output = ()> + Send + 'static) {
         if let Some(executor) = self.executor.upgrade() {
             executor.spawn(work).detach();
@@ -183,17 +184,17 @@
     }
 
     /// Counts a request as open until the guard is dropped.
-    pub(crate) fn opened(self: &Arc<Self>) -> Opened {
+    pub(crate) fn count_open(self: &Arc<Self>) -> OpenGuard {
         self.open.fetch_add(1, Ordering::SeqCst);
         metrics::gauge!("tidepier_open_requests").increment(1.0);
-        Opened(self.clone())
+        OpenGuard(self.clone())
     }
 }
 
-/// Counts one open request.
-pub(crate) struct Opened(Arc<Node>);
+/// Counts one open request until it is dropped.
+pub(crate) struct OpenGuard(Arc<Node>);
 
-impl Drop for Opened {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, Ordering::SeqCst);
         metrics::gauge!("tidepier_open_requests").decrement(1.0);
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -1,5 +1,4 @@
-//! Other boxes: taking their links, and giving each of their frames to whoever
-//! it is for.
+//! Accepts the links of other boxes, and dispatches each of their frames.
 
 use std::io;
 use std::sync::Arc;
@@ -18,7 +17,7 @@
 use crate::node::Node;
 use crate::{at_most_once, dial, follow, heartbeat, keeper, members, place};
 
-/// Pause after a failed accept.
+/// Time before links are accepted again after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 pub(crate) fn start(node: &Arc<Node>) -> io::Result<()> {
@@ -45,22 +44,23 @@
     }
 }
 
-/// Takes one frame of `peer`; answers go to `line`.
-pub(crate) fn take(node: &Arc<Node>, peer: &ids::Box, frame: Frame, line: &Line) {
+/// Handles one frame of `peer`; answers are sent to `line`.
+pub(crate) fn handle_frame(node: &Arc<Node>, peer: &ids::Box, frame: Frame, line: &Line) {
     match frame {
         Frame::Beat(theirs) => {
-            let differs = heard_beat(node, peer, theirs);
+            let differs = apply_beat(node, peer, theirs);
             line.send(Frame::Echo(heartbeat::next_beat(node)));
             if differs {
                 line.send(Frame::Table(node.table().rumors()));
             }
         }
         Frame::Echo(theirs) => {
-            heard_beat(node, peer, theirs);
+            apply_beat(node, peer, theirs);
         }
         Frame::Table(rumors) => {
             members::merge_rumors(node, rumors);
-            // The sender lacks what this box knows beyond it.
+            // Sends this box's table back, as it may have rumors that the peer
+            // lacks.
             if heartbeat::exchange_due(node, peer) {
                 line.send(Frame::Table(node.table().rumors()));
             }
@@ -68,7 +68,7 @@
         Frame::Reach(target) => heartbeat::probe_for_peer(node, target, line.clone()),
         Frame::Reached(target, yes) => {
             if yes {
-                node.links.heard(&target);
+                node.links.record_received(&target);
             }
         }
         Frame::Fetch(held) => match node.current.update(held) {
@@ -85,11 +85,11 @@
         Frame::Ask(ask) => keeper::answer_ask(node, peer, ask),
         Frame::Grant(number, engine, slot, pressure) => {
             node.record_pressure(&engine, pressure);
-            granted(node, peer, number, Grant { engine, slot });
+            deliver_grant(node, peer, number, Grant { engine, slot });
         }
         Frame::Refuse(number, kind, detail, after_ms) => {
             let fault = Fault::new(kind, detail).after(Duration::from_millis(after_ms));
-            let _ = node.links.answer(number, Answer::Place(Err(fault)));
+            let _ = node.links.deliver(number, Answer::Place(Err(fault)));
         }
         Frame::Release(slot, ended) => keeper::release(node, slot, ended),
         Frame::Withdraw(model, number) => {
@@ -106,31 +106,33 @@
         Frame::Still(slots) => keeper::retain_slots(node, peer, &slots),
         Frame::Adopted(slots) => place::record_adoptions(node, peer, &slots),
         Frame::FateOf(number, claim) => at_most_once::answer_fate(node, number, claim, line),
-        Frame::Fate(number, fate) => drop(node.links.answer(number, Answer::Fate(fate))),
+        Frame::Fate(number, fate) => drop(node.links.deliver(number, Answer::Fate(fate))),
         Frame::Claim(number, wish) => {
             at_most_once::answer_claim(node, number, &wish, peer, line.clone())
         }
         Frame::Claimed(number, claimed) => {
-            drop(node.links.answer(number, Answer::Claimed(claimed)));
+            drop(node.links.deliver(number, Answer::Claimed(claimed)));
         }
         Frame::Bye(rumor) => members::merge_rumors(node, vec![rumor]),
-        // Only the opening of a link has these.
+        // These frames belong to the opening of a link only.
         Frame::Hello(_) | Frame::Proof(_) => {
             metrics::counter!("tidepier_link_refused_total", "why" => "out of place").increment(1);
         }
     }
 }
 
-/// Hands over a place; one that nobody waits for any more goes back at once.
-fn granted(node: &Arc<Node>, peer: &ids::Box, number: u64, grant: Grant) {
-    let answered = node.links.answer(number, Answer::Place(Ok(grant)));
+/// Delivers a granted place. If its request no longer waits, the place is
+/// released at once.
+fn deliver_grant(node: &Arc<Node>, peer: &ids::Box, number: u64, grant: Grant) {
+    let answered = node.links.deliver(number, Answer::Place(Ok(grant)));
     if let Err(Answer::Place(Ok(grant))) = answered {
         place::release_unused(node, peer, &grant);
     }
 }
 
-/// Takes what a heartbeat tells; returns whether the tables differ.
-fn heard_beat(node: &Arc<Node>, peer: &ids::Box, theirs: Beat) -> bool {
+/// Applies a heartbeat; returns whether the tables differ and a full exchange is
+/// due.
+fn apply_beat(node: &Arc<Node>, peer: &ids::Box, theirs: Beat) -> bool {
     members::merge_rumors(node, theirs.rumors);
     follow::heard(node, peer, theirs.generation);
     heartbeat::needs_exchange(node, peer, theirs.table)
--- a/crates/router/src/place/ask.rs
+++ b/crates/router/src/place/ask.rs
@@ -73,7 +73,7 @@
 
 impl Drop for Pending<'_> {
     fn drop(&mut self) {
-        if !self.node.links.forget(self.number) {
+        if !self.node.links.cancel(self.number) {
             return;
         }
         if self.keeper == self.node.name() {
@@ -96,7 +96,7 @@
     hall: &ids::Hall,
     keeper: &ids::Box,
 ) -> Result<Place, Fault> {
-    let number = node.links.number();
+    let number = node.links.next_number();
     let ask = new_ask(work, number);
     let answer = node.links.expect(keeper, number);
     let pending = Pending {
@@ -152,13 +152,13 @@
     let resolved = keeper::resolve(node, node.name(), ask);
     match keeper::decide(node, &work.model, resolved) {
         Verdict::Granted(grant) => {
-            node.links.forget(ask.number);
+            node.links.cancel(ask.number);
             let pressure = keeper::pressure(node, &grant.engine);
             node.record_pressure(&grant.engine, pressure);
             Ok(grant)
         }
         Verdict::Refused(fault) => {
-            node.links.forget(ask.number);
+            node.links.cancel(ask.number);
             Err(fault)
         }
         Verdict::Waits => wait_for_decision(answer, work).await,
@@ -180,7 +180,7 @@
         false => within(REMOTE_CONNECT_TIMEOUT, opening).await.flatten(),
     };
     let Some(line) = line else {
-        node.links.forget(ask.number);
+        node.links.cancel(ask.number);
         return Err(Fault::new(
             Kind::Peer,
             format!("keeper {keeper} cannot be reached"),
--- a/crates/router/src/start.rs
+++ b/crates/router/src/start.rs
@@ -9,7 +9,7 @@
 use tidepier_config::Settings;
 use tidepier_http::dial::{self, Dial};
 
-use crate::dialect::callers;
+use crate::dialect::clients;
 use crate::node::Node;
 use crate::{admin, follow, heartbeat, keeper, peers, place, probe};
 
@@ -33,8 +33,8 @@
         settings: Settings,
         executor: &Arc<Executor<'static>>,
     ) -> io::Result<Arc<Self>> {
-        let node = Arc::new(Self::new(network, settings, executor, peers::take));
-        callers::start(&node)?;
+        let node = Arc::new(Self::new(network, settings, executor, peers::handle_frame));
+        clients::start(&node)?;
         peers::start(&node)?;
         admin::start(&node)?;
         heartbeat::start(&node);
--- a/crates/router/src/stop.rs
+++ b/crates/router/src/stop.rs
@@ -26,7 +26,7 @@
         self.stop.advance(Phase::Stopping);
         self.table().leave(started);
         self.table_changed.notify(usize::MAX);
-        self.links.beat_now.notify(usize::MAX);
+        self.links.beat_requested.notify(usize::MAX);
         log::info!("stopping open={}", self.open_requests());
         let limit = self.settings.tuning.stop_ms.duration();
         let grace = self.settings.tuning.grace_ms.duration();
--- a/crates/router/src/stream.rs
+++ b/crates/router/src/stream.rs
@@ -1,6 +1,6 @@
-//! An answer on its way from an engine: every frame is matched to request and
-//! offset, a broken stream is resumed or continued, and only an answer with
-//! its end mark counts as whole.
+//! The stream of an answer from an engine. Every frame is matched to the request
+//! and the expected offset. A broken stream is resumed on its engine or continued
+//! on another one. An answer is complete only if its end mark has arrived.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,26 +20,26 @@
 use crate::place::{self, Place};
 use crate::trace::Hop;
 
-/// Tries to resume a stream on its own engine.
-const RESUMES: u32 = 2;
-/// Pause before each try to resume.
-const RESUME_PAUSE: Duration = Duration::from_millis(50);
-/// Engines tried for one request.
-const ENGINES: usize = 4;
-/// Time for the cancelling of an abandoned request.
-const CANCEL_TIME: Duration = Duration::from_secs(2);
+/// Most attempts to resume a stream on its own engine.
+const RESUMES_MAX: u32 = 2;
+/// Time before the next attempt to resume.
+const RESUME_INTERVAL: Duration = Duration::from_millis(50);
+/// Most engines that are tried for one request.
+const ENGINES_MAX: usize = 4;
+/// Time for the call that cancels an abandoned request.
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Largest answer to a cancel, in bytes.
-const CANCEL_BYTES: u64 = 4096;
+const CANCEL_BYTES_MAX: u64 = 4096;
 
-/// Why a stream cannot go on as it is.
-enum Break {
-    /// The engine is stuck: asking it again is of no use.
-    Stuck,
-    /// The connection or a frame is bad; the engine may be well.
-    Bad(&'static str),
+/// Why the current stream cannot be read any further.
+enum Interruption {
+    /// The engine has stalled, so resuming on it would not help.
+    Stalled,
+    /// The connection or a frame is faulty; the engine may be healthy.
+    Faulty(&'static str),
 }
 
-/// An answer on its way.
+/// The stream of one answer.
 pub(crate) struct Source {
     node: Arc<Node>,
     job: Job,
@@ -47,22 +47,23 @@
     engine: ids::Engine,
     address: SocketAddr,
     body: Option<Body>,
-    /// The engine's number for this reader, sent with a cancel.
+    /// The engine's number for this reader, sent when the answer is cancelled.
     reader: u64,
     offset: u64,
-    /// All text so far, to continue on another engine.
+    /// All text so far, from which another engine can continue.
     text: String,
-    /// The caller has seen the start of the text on another box.
-    partial: bool,
+    /// Whether `text` lacks the start of the answer, as the client received it
+    /// through another box.
+    text_incomplete: bool,
     ended: bool,
 }
 
 impl Source {
-    /// Finds a place and sends the request.
+    /// Obtains a place and sends the request.
     ///
     /// # Errors
     ///
-    /// A fault whose kind tells whether an engine may have run the request.
+    /// A fault whose kind tells whether an engine may have executed the request.
     pub(crate) async fn open(node: Arc<Node>, mut job: Job) -> Result<Self, Fault> {
         loop {
             let mut place = Box::pin(place::find(&node, &job.work)).await?;
@@ -79,17 +80,17 @@
                         reader: opened.reader,
                         offset: 0,
                         text: String::new(),
-                        partial: false,
+                        text_incomplete: false,
                         ended: false,
                     })
                 }
                 Err(Failed { fault, gone }) => {
                     place.mark_failed();
                     job.work.avoid.push(place.engine.clone());
-                    let harmless = fault.kind.answer().ran == tidepier_errors::Ran::No;
-                    let again = harmless || job.work.kind.repeatable();
-                    let few = job.work.avoid.len() < ENGINES;
-                    let retry = fault.kind != Kind::BadRequest && again && few;
+                    let not_executed = fault.kind.answer().ran == tidepier_errors::Ran::No;
+                    let repeatable = not_executed || job.work.kind.repeatable();
+                    let engines_left = job.work.avoid.len() < ENGINES_MAX;
+                    let retry = fault.kind != Kind::BadRequest && repeatable && engines_left;
                     if !retry
                         || Deadline::at(job.work.deadline).passed()
                         || !job.may_move(&node, gone)
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Reads on an answer that was begun through another box.
+    /// Resumes an answer that was started through another box.
     ///
     /// # Errors
     ///
@@ -123,20 +124,21 @@
             reader: 0,
             offset: from,
             text: String::new(),
-            partial: true,
+            text_incomplete: true,
             ended: false,
         };
         if source.resume().await {
             return Ok(source);
         }
-        // Its engine is gone or has dropped it; it may have been whole.
+        // The engine is gone or no longer keeps the answer, which may have been
+        // complete.
         Err(Fault::new(
             Kind::Gone,
             "the engine no longer has this answer",
         ))
     }
 
-    /// The engine that makes the answer now.
+    /// The engine that currently generates the answer.
     pub(crate) fn engine(&self) -> &ids::Engine {
         &self.engine
     }
@@ -146,62 +148,68 @@
         &self.text
     }
 
-    /// The next event; not to be called after the last one.
+    /// The next event. Must not be called after the last one.
     ///
     /// # Errors
     ///
     /// [`Kind::Broken`] or [`Kind::Deadline`]; the answer cannot be completed.
-    pub(crate) async fn next(&mut self) -> Result<Event, Fault> {
+    pub(crate) async fn next_event(&mut self) -> Result<Event, Fault> {
         loop {
             let deadline = Deadline::at(self.job.work.deadline);
             let read = deadline
-                .bound(Kind::Deadline, async { Ok(self.read().await) })
+                .bound(Kind::Deadline, async { Ok(self.read_event().await) })
                 .await?;
-            let trouble = match read {
+            let interruption = match read {
                 Ok(event) => return Ok(event),
-                Err(trouble) => trouble,
+                Err(interruption) => interruption,
             };
             deadline
-                .bound(Kind::Deadline, self.recover(trouble))
+                .bound(Kind::Deadline, self.recover(interruption))
                 .await?;
         }
     }
 
-    async fn read(&mut self) -> Result<Event, Break> {
+    async fn read_event(&mut self) -> Result<Event, Interruption> {
         loop {
             let limit = match self.offset {
                 0 => self.job.work.stall_timeouts.first,
                 _ => self.job.work.stall_timeouts.between,
             };
-            let body = self.body.as_mut().ok_or(Break::Bad("no stream"))?;
+            let body = self
+                .body
+                .as_mut()
+                .ok_or(Interruption::Faulty("no stream"))?;
             let frame = match within(limit, body.next()).await {
-                None => return Err(Break::Stuck),
-                Some(Err(_)) => return Err(Break::Bad("cut")),
-                Some(Ok(None)) => return Err(Break::Bad("short")),
+                None => return Err(Interruption::Stalled),
+                Some(Err(_)) => return Err(Interruption::Faulty("cut")),
+                Some(Ok(None)) => return Err(Interruption::Faulty("short")),
                 Some(Ok(Some(frame))) => frame,
             };
-            if let Some(event) = self.check(frame)? {
+            if let Some(event) = self.match_frame(frame)? {
                 return Ok(event);
             }
         }
     }
 
-    /// Matches a frame to request and offset; `None` for one that is skipped.
-    fn check(&mut self, frame: Frame) -> Result<Option<Event>, Break> {
+    /// Checks a frame's request and offset; `None` for a repeated frame, which is
+    /// skipped.
+    fn match_frame(&mut self, frame: Frame) -> Result<Option<Event>, Interruption> {
         let dialect = &self.job.dialect;
         let position = dialect.position(&frame);
-        let (request, ids::Offset(offset)) = position.ok_or(Break::Bad("no id"))?;
+        let (request, ids::Offset(offset)) = position.ok_or(Interruption::Faulty("no id"))?;
         if request != self.job.work.id {
-            return Err(Break::Bad("crossed"));
+            return Err(Interruption::Faulty("crossed"));
         }
         if offset < self.offset {
-            count_bad("repeated");
+            count_faulty("repeated");
             return Ok(None);
         }
         if offset > self.offset {
-            return Err(Break::Bad("gap"));
+            return Err(Interruption::Faulty("gap"));
         }
-        let event = dialect.event(frame).ok_or(Break::Bad("malformed"))?;
+        let event = dialect
+            .event(frame)
+            .ok_or(Interruption::Faulty("malformed"))?;
         if event.last {
             self.ended = true;
             self.node.retries.record_success();
@@ -212,27 +220,27 @@
         Ok(Some(event))
     }
 
-    /// Resumes on the engine, or continues on another.
-    async fn recover(&mut self, trouble: Break) -> Result<(), Fault> {
+    /// Resumes the answer on its engine, or continues it on another.
+    async fn recover(&mut self, interruption: Interruption) -> Result<(), Fault> {
         self.body = None;
-        let why = match trouble {
-            Break::Stuck => "stuck",
-            Break::Bad(why) => why,
+        let why = match interruption {
+            Interruption::Stalled => "stuck",
+            Interruption::Faulty(why) => why,
         };
-        count_bad(why);
+        count_faulty(why);
         let note = format!("{} broke off at {}: {why}", self.engine, self.offset);
         self.note(note);
-        // A stuck engine may still run the request; one that broke off and does
-        // not know it any more does not.
-        let gone = matches!(trouble, Break::Bad(_));
+        // A stalled engine may still run the request. An engine that broke off
+        // and cannot resume the request no longer runs it.
+        let gone = matches!(interruption, Interruption::Faulty(_));
         if gone && self.resume().await {
             return Ok(());
         }
-        self.elsewhere(gone).await
+        self.continue_elsewhere(gone).await
     }
 
     async fn resume(&mut self) -> bool {
-        for _ in 0..RESUMES {
+        for _ in 0..RESUMES_MAX {
             let call = self.job.dialect.resume(self.job.work.id, self.offset);
             let sent = self.node.client.send(self.address, &call).await;
             if let Ok(answer) = sent {
@@ -244,23 +252,24 @@
                 }
                 return false;
             }
-            Timer::after(RESUME_PAUSE).await;
+            Timer::after(RESUME_INTERVAL).await;
         }
         false
     }
 
     /// Continues the answer on another engine from the text so far.
-    async fn elsewhere(&mut self, mut gone: bool) -> Result<(), Fault> {
+    async fn continue_elsewhere(&mut self, mut gone: bool) -> Result<(), Fault> {
         if let Some(place) = &mut self.place {
             place.mark_failed();
         }
-        // Read on from another box, neither the request nor all its text is here.
-        let known = !self.partial;
+        // An answer that was started through another box cannot be continued:
+        // this box has neither the request nor the start of the text.
+        let known = !self.text_incomplete;
         if !self.job.work.kind.repeatable() || !known {
             let detail = format!("the engine was lost after {} tokens", self.offset);
             return Err(Fault::new(Kind::Broken, detail));
         }
-        while self.job.work.avoid.len() < ENGINES {
+        while self.job.work.avoid.len() < ENGINES_MAX {
             self.place = None;
             self.job.work.avoid.push(self.engine.clone());
             self.job.work.prefer = None;
@@ -268,7 +277,7 @@
                 break;
             }
             let place = place::find(&self.node, &self.job.work).await;
-            let mut place = place.map_err(|fault| broken(fault, self.offset))?;
+            let mut place = place.map_err(|fault| rest_not_placed(fault, self.offset))?;
             self.engine = place.engine.clone();
             let (dialect, work) = (&*self.job.dialect, &self.job.work);
             let sent = engine::send(&self.node, dialect, work, &place.engine, &self.text).await;
@@ -300,18 +309,21 @@
     }
 }
 
-/// A refusal to place the rest of an answer does not make the answer not run.
-fn broken(fault: Fault, offset: u64) -> Fault {
+/// Turns the refusal of a place for the rest of an answer into a
+/// [`Kind::Broken`] fault. The refusal's own kind would tell the client that the
+/// request was not executed, but a part of the answer exists.
+fn rest_not_placed(fault: Fault, offset: u64) -> Fault {
     let detail = format!("lost after {offset} tokens, and then: {fault}");
     Fault::new(Kind::Broken, detail).after(fault.retry_after.unwrap_or(Duration::from_secs(1)))
 }
 
-fn count_bad(why: &'static str) {
+fn count_faulty(why: &'static str) {
     metrics::counter!("tidepier_bad_frames_total", "why" => why).increment(1);
 }
 
 impl Drop for Source {
-    /// Cancels an answer that nobody reads, unless its caller comes back.
+    /// Cancels an unfinished answer that is no longer read. The engine keeps it
+    /// for the job's linger time, in which the client may resume it.
     fn drop(&mut self) {
         if self.ended {
             return;
@@ -325,7 +337,7 @@
             Timer::after(linger).await;
             let _ = node
                 .client
-                .whole(address, &call, CANCEL_BYTES, CANCEL_TIME)
+                .whole(address, &call, CANCEL_BYTES_MAX, CANCEL_TIMEOUT)
                 .await;
             metrics::counter!("tidepier_cancels_total").increment(1);
             drop(place);
