--- a/tests/all/edges.rs
+++ b/tests/all/edges.rs
@@ -1,4 +1,4 @@
-//! The door to callers: bad input gets a clear answer and harms nothing.
+//! The port for clients: invalid input gets a clear answer and does no harm.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -15,7 +15,7 @@
 use crate::harness::{bearer, fault_of, Fleet, Plan};
 use crate::streams::config;
 
-/// One fleet for all tests that leave it as it was.
+/// One fleet, shared by all tests that do not change its state.
 fn fleet() -> &'static Fleet {
     static FLEET: OnceLock<Fleet> = OnceLock::new();
     FLEET.get_or_init(|| {
@@ -32,13 +32,14 @@
     raw_then(address, bytes, true)
 }
 
-/// Like [`raw`]; says whether nothing more follows the bytes.
+/// Like [`raw`]; `ends` closes the sending side after the bytes.
 fn raw_then(address: SocketAddr, bytes: &[u8], ends: bool) -> (u16, String) {
     let mut socket = TcpStream::connect(address).unwrap();
     socket
         .set_read_timeout(Some(Duration::from_secs(20)))
         .unwrap();
-    // The other side may answer and close before all is written.
+    // The other side may answer and close the connection before everything is
+    // written.
     let _ = socket.write_all(bytes);
     if ends {
         let _ = socket.shutdown(std::net::Shutdown::Write);
@@ -86,7 +87,8 @@
 fn a_head_without_end_gets_a_413_in_bounded_memory() {
     let mut bytes = b"GET / HTTP/1.1\r\nHost: a\r\nX: ".to_vec();
     bytes.resize(64 << 10, b'x');
-    // More may follow for ever: the answer must not wait for it.
+    // The connection stays open for more bytes; the answer must not wait for
+    // them.
     let (status, text) = raw_then(fleet().addresses()[0], &bytes, false);
     assert_eq!(status, 413, "{text}");
 }
@@ -211,7 +213,7 @@
 }
 
 #[test]
-fn responses_speak_their_own_dialect() {
+fn the_responses_api_has_its_own_format() {
     let fleet = fleet();
     let key = key_of("drivers");
     let body = r#"{"model":"linen","input":"Which van?","max_output_tokens":4}"#;
@@ -235,7 +237,7 @@
 }
 
 #[test]
-fn a_caller_who_left_frees_the_engine() {
+fn a_disconnected_client_frees_the_engine() {
     let fleet = Fleet::start(Plan {
         boxes: 1,
         engines: 1,
@@ -254,7 +256,8 @@
     socket.write_all(head.as_bytes()).unwrap();
     let engine = fleet.engine(0).engine().clone();
     fleet.wait("the engine runs it", || engine.report().running == 1);
-    // Without a token nothing is written, and no write can tell.
+    // A frozen engine sends no tokens, so the router writes nothing and cannot
+    // detect the closed connection by a failed write.
     engine.switches.set(Faults {
         freeze: true,
         ..Faults::default()
@@ -265,7 +268,8 @@
             .status()
             .is_some_and(|status| status.open == 0)
     };
-    // Far less than the time after which a silent engine is given up.
+    // Far less than the time-out after which the router gives up a stalled
+    // engine.
     fleet.wait_for(Duration::from_secs(20), "nothing is open", free);
     engine.switches.set(Faults::default());
     fleet.wait("the engine is free again", || engine.report().running == 0);
@@ -304,14 +308,14 @@
     #![proptest_config(config(64))]
 
     #[test]
-    fn no_bytes_break_the_door(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_leave_the_port_healthy(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         raw(fleet().addresses()[0], &bytes);
         let (status, _) = raw(fleet().addresses()[0], b"GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
         prop_assert_eq!(status, 200);
     }
 
     #[test]
-    fn no_body_breaks_the_door(body in "\\PC{0,200}", path in "[a-z/0-9]{0,30}") {
+    fn arbitrary_bodies_get_a_client_error(body in "\\PC{0,200}", path in "[a-z/0-9]{0,30}") {
         let call = Call::post(format!("/{path}"), body.into_bytes())
             .header("authorization", bearer(&key_of("drivers")));
         let answer = fleet().call(fleet().addresses()[0], &call).unwrap();
--- a/tests/all/recovery.rs
+++ b/tests/all/recovery.rs
@@ -1,5 +1,6 @@
-//! What each fault costs and how long it lasts, with the timers of a real
-//! fleet. Not a test: `scripts/measure recovery` runs it and prints its line.
+//! Measures what each fault costs and how long its effects last, with the default
+//! timers of a fleet. This is not a test: `scripts/measure recovery` runs it and
+//! prints its line.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -15,13 +16,13 @@
 use crate::harness::network::PLATFORM;
 use crate::harness::{Fleet, Plan};
 
-/// Requests a second during a fault.
+/// Requests per second during a fault.
 const RATE: u64 = 40;
-/// Tokens of each answer: half a second.
+/// Tokens of each answer, which take half a second.
 const TOKENS: u64 = 90;
-/// A first token later than this is not full service.
+/// Longest time to the first token that counts as full service.
 const FULL: Duration = Duration::from_millis(1100);
-/// Time before and after a fault.
+/// Time of traffic before and after a fault.
 const AROUND: Duration = Duration::from_secs(3);
 
 struct Seen {
@@ -29,7 +30,7 @@
     outcome: Outcome,
 }
 
-/// Callers at a steady rate, and not-repeatable drafts beside them.
+/// Chats at a constant rate, and drafts that must not be repeated beside them.
 struct Traffic {
     stop: Arc<AtomicBool>,
     seen: Arc<Mutex<Vec<Seen>>>,
@@ -46,20 +47,20 @@
         let chats: Vec<_> = (0..2000)
             .map(|number| fleet.make_chat(number, TOKENS))
             .collect();
-        let (stopped, noted, posted) = (stop.clone(), seen.clone(), drafts.clone());
+        let (stopped, recorded, posted) = (stop.clone(), seen.clone(), drafts.clone());
         let task = smol::spawn(async move {
             let mut tasks = Vec::new();
             for (number, chat) in chats.into_iter().enumerate() {
                 if stopped.load(Ordering::SeqCst) {
                     break;
                 }
-                let (addresses, noted) = (addresses.clone(), noted.clone());
+                let (addresses, recorded) = (addresses.clone(), recorded.clone());
                 let posted = posted.clone();
                 tasks.push(smol::spawn(async move {
                     let began = Instant::now();
                     let pool = Pool::new();
                     let outcome = caller::ask(&pool, &addresses, number, &chat).await;
-                    noted.lock().unwrap().push(Seen { began, outcome });
+                    recorded.lock().unwrap().push(Seen { began, outcome });
                     if number % 4 == 0 {
                         let id = format!("draft-{number}");
                         let router = addresses[number % addresses.len()];
@@ -86,7 +87,8 @@
         }
     }
 
-    /// Ends the traffic and sums up a fault that struck at `struck`.
+    /// Ends the traffic and summarises the effects of a fault that began at
+    /// `struck`.
     fn row(self, fleet: &Fleet, name: &str, struck: Instant) -> Value {
         self.stop.store(true, Ordering::SeqCst);
         smol::block_on(self.task);
@@ -196,10 +198,11 @@
     rows
 }
 
-/// Seconds from a configuration's acceptance until the last box has it.
+/// The longest time in seconds from the acceptance of a configuration until the
+/// last box has it in force.
 ///
-/// Twelve boxes in three halls: two of each hall watch the store, the others
-/// hear of a change from peers.
+/// The fleet has twelve boxes in three halls: two of each hall watch the store,
+/// the others learn of a change from peers.
 fn configuration() -> f64 {
     let plan = Plan {
         boxes: 12,
@@ -232,7 +235,7 @@
     println!("{line}");
 }
 
-/// A steward sleeps past its lease while another takes the duty.
+/// A steward is frozen for longer than its lease, while another one takes over.
 fn steward_frozen() -> Value {
     let fleet = fleet(1);
     let first = fleet.steward(0);
--- a/tests/all/streams.rs
+++ b/tests/all/streams.rs
@@ -1,5 +1,6 @@
-//! Whole answers, and only one's own: stateful fuzzing of chats under faults
-//! of engines and routers, against the oracle that knows every token.
+//! Stateful fuzzing of chats under faults of engines and routers. Every answer
+//! must be complete and must belong to its own request; the oracle computes every
+//! expected token.
 
 use std::collections::BTreeMap;
 
@@ -10,16 +11,16 @@
 
 use crate::harness::{Fleet, Plan};
 
-/// Chats of one burst.
+/// Number of chats in one burst.
 const BURST: u64 = 140;
-/// Steps of one case.
+/// Number of steps in one case.
 const STEPS: usize = 40;
 /// Engines of the fuzzed fleet.
 const ENGINES: usize = 4;
 /// Routers of the fuzzed fleet.
 const ROUTERS: usize = 3;
 
-/// What happens to an engine's next streams.
+/// A fault of an engine's next streams.
 #[derive(Debug, Clone, Copy)]
 pub enum Fault {
     Cut,
@@ -31,27 +32,27 @@
 
 #[derive(Debug, Clone)]
 pub enum Step {
-    /// Chats of so many tokens, at once, through all routers.
+    /// Concurrent chats of `tokens` tokens each, through all routers.
     Burst { tokens: u64 },
-    /// Faults of an engine's next streams.
-    Trouble {
+    /// The engine's next `count` streams have a fault.
+    Inject {
         engine: usize,
         fault: Fault,
         count: u32,
     },
-    /// An engine dies in the middle of a burst and comes back after it.
-    Death { engine: usize, tokens: u64 },
-    /// A router dies in the middle of a burst and comes back after it.
-    Loss { router: usize, tokens: u64 },
+    /// An engine is killed during a burst and restarted after it.
+    KillEngine { engine: usize, tokens: u64 },
+    /// A router is killed during a burst and restarted after it.
+    KillRouter { router: usize, tokens: u64 },
 }
 
 impl Step {
     fn name(&self) -> &'static str {
         match self {
             Step::Burst { .. } => "burst",
-            Step::Death { .. } => "engine_killed",
-            Step::Loss { .. } => "router_killed",
-            Step::Trouble { fault, .. } => match fault {
+            Step::KillEngine { .. } => "engine_killed",
+            Step::KillRouter { .. } => "router_killed",
+            Step::Inject { fault, .. } => match fault {
                 Fault::Cut => "cut",
                 Fault::Cross => "cross",
                 Fault::Repeat => "repeat",
@@ -62,10 +63,11 @@
     }
 }
 
-/// The reference: chats have numbers, and the oracle knows their answers.
+/// The reference state: the number of chats that were sent. The oracle computes
+/// each chat's answer from its number.
 #[derive(Debug, Clone)]
 pub struct Expected {
-    asked: u64,
+    sent: u64,
 }
 
 pub struct Machine;
@@ -75,7 +77,7 @@
     type Transition = Step;
 
     fn init_state() -> BoxedStrategy<Expected> {
-        Just(Expected { asked: 0 }).boxed()
+        Just(Expected { sent: 0 }).boxed()
     }
 
     fn transitions(_: &Expected) -> BoxedStrategy<Step> {
@@ -86,19 +88,19 @@
             Just(Fault::Gap),
             Just(Fault::Refuse),
         ];
-        let trouble = (0..ENGINES, fault, 1..4u32);
+        let injected = (0..ENGINES, fault, 1..4u32);
         prop_oneof![
             6 => (1..30u64).prop_map(|tokens| Step::Burst { tokens }),
-            6 => trouble.prop_map(|(engine, fault, count)| Step::Trouble { engine, fault, count }),
-            1 => (0..ENGINES, 10..40u64).prop_map(|(engine, tokens)| Step::Death { engine, tokens }),
-            1 => (0..ROUTERS, 10..40u64).prop_map(|(router, tokens)| Step::Loss { router, tokens }),
+            6 => injected.prop_map(|(engine, fault, count)| Step::Inject { engine, fault, count }),
+            1 => (0..ENGINES, 10..40u64).prop_map(|(engine, tokens)| Step::KillEngine { engine, tokens }),
+            1 => (0..ROUTERS, 10..40u64).prop_map(|(router, tokens)| Step::KillRouter { router, tokens }),
         ]
         .boxed()
     }
 
     fn apply(mut state: Expected, step: &Step) -> Expected {
-        if !matches!(step, Step::Trouble { .. }) {
-            state.asked += BURST;
+        if !matches!(step, Step::Inject { .. }) {
+            state.sent += BURST;
         }
         state
     }
@@ -106,19 +108,19 @@
 
 pub struct System {
     fleet: Fleet,
-    asked: u64,
+    sent: u64,
     /// Chats that ended with an explicit error.
     errors: u64,
-    /// What was done, by name; `scripts/fuzz` adds them up.
+    /// Number of steps by name; `scripts/fuzz` adds them up.
     done: BTreeMap<&'static str, u64>,
 }
 
 impl System {
     fn burst(&mut self, tokens: u64, disturb: impl FnOnce(&mut Fleet)) {
-        let range = self.asked..self.asked + BURST;
-        self.asked += BURST;
+        let range = self.sent..self.sent + BURST;
+        self.sent += BURST;
         let addresses = self.fleet.addresses();
-        let asked: Vec<_> = range
+        let sent: Vec<_> = range
             .map(|number| {
                 let chat = self.fleet.make_chat(number, tokens);
                 let (pool, addresses) = (self.fleet.pool.clone(), addresses.clone());
@@ -130,8 +132,8 @@
             .collect();
         std::thread::sleep(std::time::Duration::from_millis(10));
         disturb(&mut self.fleet);
-        for one in asked {
-            let outcome = smol::block_on(one);
+        for chat in sent {
+            let outcome = smol::block_on(chat);
             assert_eq!(
                 outcome.wrong, 0,
                 "a wrong, foreign or doubled token: {outcome:?}"
@@ -161,7 +163,7 @@
         };
         System {
             fleet: Fleet::start(plan),
-            asked: 0,
+            sent: 0,
             errors: 0,
             done: BTreeMap::new(),
         }
@@ -171,7 +173,7 @@
         *system.done.entry(step.name()).or_default() += 1;
         match step {
             Step::Burst { tokens } => system.burst(tokens, |_| {}),
-            Step::Trouble {
+            Step::Inject {
                 engine,
                 fault,
                 count,
@@ -187,7 +189,7 @@
                 }
                 switches.set(faults);
             }
-            Step::Death { engine, tokens } => {
+            Step::KillEngine { engine, tokens } => {
                 system.burst(tokens, |fleet| fleet.engine(engine).kill());
                 system
                     .fleet
@@ -195,12 +197,17 @@
                     .start()
                     .expect("the engine's port is free");
             }
-            Step::Loss { router, tokens } => {
+            Step::KillRouter { router, tokens } => {
                 system.burst(tokens, |fleet| fleet.routers[router].kill());
                 system.fleet.routers[router].up();
-                // The balancer sends nothing to a box that is not ready.
-                let up = &system.fleet.routers[router];
-                let ready = || up.status().is_some_and(|status| status.generation.0 > 0);
+                // Waits for readiness, as a balancer sends nothing to a box that
+                // is not ready.
+                let restarted = &system.fleet.routers[router];
+                let ready = || {
+                    restarted
+                        .status()
+                        .is_some_and(|status| status.generation.0 > 0)
+                };
                 system.fleet.wait("the new box is ready", ready);
             }
         }
@@ -208,35 +215,36 @@
     }
 
     fn check_invariants(system: &System, expected: &Expected) {
-        assert_eq!(system.asked, expected.asked);
+        assert_eq!(system.sent, expected.sent);
     }
 
     fn teardown(system: System, _: Expected) {
-        let whole = system.asked - system.errors;
+        let whole = system.sent - system.errors;
         println!(
             "answers={} whole={whole} explicit_errors={}",
-            system.asked, system.errors
+            system.sent, system.errors
         );
         for (name, count) in &system.done {
             println!("fuzz-step {name} {count}");
         }
-        // An answer whose router and engine are both lost ends with an error.
+        // An answer ends with an error if its router and its engine are both
+        // lost, so a few errors are allowed.
         assert!(
-            whole * 100 >= system.asked * 99,
+            whole * 100 >= system.sent * 99,
             "{} of {} failed",
             system.errors,
-            system.asked
+            system.sent
         );
     }
 }
 
-/// Cases of the run in CI; `scripts/fuzz` sets more.
+/// Number of cases: `default` in CI, more with `scripts/fuzz`.
 pub fn cases(default: u32) -> u32 {
     let wanted = std::env::var("TIDEPIER_FUZZ_CASES").ok();
     wanted.and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// The seed of the run in CI; `scripts/fuzz` sets others.
+/// The seed: a fixed one in CI, others with `scripts/fuzz`.
 pub fn seed() -> u64 {
     let wanted = std::env::var("TIDEPIER_FUZZ_SEED").ok();
     wanted
@@ -244,16 +252,17 @@
         .unwrap_or(20_261_202)
 }
 
-/// Steps of shrinking after a failure. `scripts/fuzz` wants none: each runs a
-/// case again, which can take minutes. With none, the library panics a second
-/// time where it would print the steps; the seed repeats them.
+/// Most shrinking steps after a failure. `scripts/fuzz` sets 0, as each step runs
+/// a case again, which can take minutes. With 0, the library panics a second time
+/// instead of printing the case's steps; the seed reproduces them.
 fn shrinks() -> u32 {
     const DEFAULT: u32 = 8;
     let wanted = std::env::var("TIDEPIER_FUZZ_SHRINKS").ok();
     wanted.and_then(|text| text.parse().ok()).unwrap_or(DEFAULT)
 }
 
-/// The configuration of all fuzzing here: a fixed seed and nothing written.
+/// The configuration of all property tests of this crate: a fixed seed, and
+/// failures are not written to files.
 pub fn config(default: u32) -> Config {
     Config {
         cases: cases(default),
@@ -267,13 +276,13 @@
 prop_state_machine! {
     #![proptest_config(config(8))]
 
-    /// More than 20,000 answers: 8 cases of 40 steps, of which more than half
-    /// are bursts.
+    /// Checks more than 20,000 answers: 8 cases of 40 steps, of which more than
+    /// half send a burst.
     #[test]
     fn answers_are_whole_and_ones_own(sequential STEPS => Machine);
 }
 
-/// The seeds in `tests/fuzz-seeds.txt` failed once.
+/// Runs the seeds of `tests/fuzz-seeds.txt`, which have failed before.
 #[test]
 fn answers_are_whole_with_the_seeds_that_failed() {
     let lines = include_str!("../fuzz-seeds.txt").lines();
@@ -299,11 +308,13 @@
     }
 }
 
-/// One engine's streams are more than the retries that a fresh router has.
+/// Guards against streams that fail after the loss of their engine because one
+/// engine has more streams than a router that has just started has retries.
 #[test]
 fn all_streams_of_a_lost_engine_go_on() {
     const CHATS: u64 = 60;
-    // Half a second and more, so that all run when the engine dies.
+    // Each answer takes more than half a second, so that all are in flight when
+    // the engine is killed.
     const TOKENS: u64 = 400;
     const RUNNING: u32 = 25;
     let fleet = Fleet::start(Plan {
@@ -324,12 +335,14 @@
     }
 }
 
-/// A keeper drops what a dead box left some seconds after its death. By then
-/// the box may be back under its name, with requests that wait.
+/// Guards against a keeper that drops the requests of a box which has restarted.
+/// The keeper releases the places of a dead box some seconds after its death; by
+/// then the box may be back under the same name, with requests that wait.
 #[test]
 fn a_box_that_came_back_keeps_its_requests() {
     const CHATS: u64 = 6;
-    // A second each, one after the other: some wait through the drop.
+    // The answers take a second each and run one after the other, so that some
+    // requests are waiting when the keeper releases the old places.
     const TOKENS: u64 = 50;
     const STEP_US: u64 = 20_000;
     let mut fleet = Fleet::start(Plan {
@@ -351,23 +364,25 @@
         status.is_some_and(|status| !status.pools.is_empty())
     };
     fleet.wait("a keeper", || keeps(0) != keeps(1));
-    let asker = usize::from(keeps(0));
-    fleet.routers[asker].kill();
-    let keeper = &fleet.routers[1 - asker];
+    let restarted = usize::from(keeps(0));
+    fleet.routers[restarted].kill();
+    let keeper = &fleet.routers[1 - restarted];
     fleet.wait("the keeper knows of the death", || {
         let status = keeper.status();
-        let name = &fleet.routers[asker].settings.name;
+        let name = &fleet.routers[restarted].settings.name;
         status.is_some_and(|s| s.boxes.iter().all(|b| b.name != *name || b.state == "dead"))
     });
-    fleet.routers[asker].up();
-    fleet.wait("ready again", || fleet.generations()[asker] == generation);
+    fleet.routers[restarted].up();
+    fleet.wait("ready again", || {
+        fleet.generations()[restarted] == generation
+    });
     let outcomes = std::thread::scope(|scope| {
         let ask = |number| {
             let fleet = &fleet;
-            scope.spawn(move || fleet.chat(asker, number, TOKENS))
+            scope.spawn(move || fleet.chat(restarted, number, TOKENS))
         };
-        let asked: Vec<_> = (1..1 + CHATS).map(ask).collect();
-        let ended = asked.into_iter().map(|one| one.join().expect("it ends"));
+        let sent: Vec<_> = (1..1 + CHATS).map(ask).collect();
+        let ended = sent.into_iter().map(|chat| chat.join().expect("it ends"));
         ended.collect::<Vec<_>>()
     });
     for outcome in outcomes {
