--- a/crates/router/src/dialect/service.rs
+++ b/crates/router/src/dialect/service.rs
@@ -1,4 +1,4 @@
-//! Plain services: `/services/NAME/...`.
+//! Forwards requests to plain services: `/services/NAME/...`.
 
 use std::sync::Arc;
 
@@ -8,14 +8,14 @@
 use tidepier_http::http_types::Method;
 use tidepier_http::server::Reply;
 
+use crate::at_most_once::{self, Permit};
 use crate::dialect::incoming::Incoming;
 use crate::dialect::{answer, headers};
 use crate::node::Node;
-use crate::once::{self, Permit};
 use crate::trace::Hop;
 
 /// Largest answer of a service in bytes.
-const ANSWER_BYTES: u64 = 8 << 20;
+const ANSWER_BYTES_MAX: u64 = 8 << 20;
 
 /// Calls a service.
 ///
@@ -31,9 +31,9 @@
 ) -> Result<Reply, Fault> {
     let service = allowed(incoming, name)?;
     let request = incoming.request;
-    let posts = request.method() != Method::Get;
-    let declared = posts && service.not_repeatable.iter().any(|path| path == rest);
-    let marked = headers::once(request, declared)?;
+    let is_post = request.method() != Method::Get;
+    let declared = is_post && service.not_repeatable.iter().any(|path| path == rest);
+    let options = headers::at_most_once(request, declared)?;
     let mut call = Call {
         method: request.method(),
         path: path(request, rest),
@@ -48,17 +48,17 @@
             call = call.header(name, values.last().as_str());
         }
     }
-    let Some(marked) = marked else {
+    let Some(options) = options else {
         let answer = send(node, incoming, service, &call).await?;
         return Ok(reply(answer));
     };
     let target = format!("service/{name}/{rest}");
     let arrival = incoming.arrival(&target, &body);
-    let permit = match once::enter(node, &arrival, &marked).await? {
-        once::Entry::Permit(permit) => permit,
-        once::Entry::Answered(kept) => return Ok(answer::replay(kept)),
+    let permit = match at_most_once::enter(node, &arrival, &options).await? {
+        at_most_once::Outcome::Permit(permit) => permit,
+        at_most_once::Outcome::Answered(kept) => return Ok(answer::replay(kept)),
     };
-    single(node, incoming, service, &call.once(), permit).await
+    send_once(node, incoming, service, &call.once(), permit).await
 }
 
 fn allowed<'d>(incoming: &Incoming<'d>, name: &str) -> Result<&'d Service, Fault> {
@@ -79,30 +79,30 @@
     }
 }
 
-/// Sends a call that may run only once.
-async fn single(
+/// Sends a call that may be executed at most once.
+async fn send_once(
     node: &Arc<Node>,
     incoming: &Incoming<'_>,
     service: &Service,
     call: &Call,
     permit: Permit,
 ) -> Result<Reply, Fault> {
-    permit.sending();
+    permit.mark_sent();
     match send(node, incoming, service, call).await {
         Ok(answer) => {
             let mime = answer.header("content-type").unwrap_or("application/json");
-            permit.done(answer.status, mime, &answer.bytes);
+            permit.keep_answer(answer.status, mime, &answer.bytes);
             Ok(reply(answer))
         }
         Err(fault) => {
-            permit.refused(&fault);
+            permit.record_refusal(&fault);
             Err(fault)
         }
     }
 }
 
-/// Servers of the service, those of this hall first; among them in an order
-/// that differs by request.
+/// Servers of the service, those of this hall first; within each group, the
+/// request's id rotates the order.
 fn servers<'s>(node: &Node, incoming: &Incoming<'_>, service: &'s Service) -> Vec<&'s Server> {
     let mut servers: Vec<_> = service.servers.iter().collect();
     let turn = incoming.id.0 as usize % servers.len().max(1);
@@ -111,8 +111,8 @@
     servers
 }
 
-/// Tries servers until one has taken the call. After a call that may have run,
-/// another server is tried only if it may be repeated.
+/// Tries servers until one answers. After a call that may have been executed,
+/// another server is tried only if the call may be repeated.
 async fn send(
     node: &Arc<Node>,
     incoming: &Incoming<'_>,
@@ -123,15 +123,19 @@
     for server in servers(node, incoming, service) {
         let address = server.address.0;
         let left = incoming.deadline.left();
-        let sent = node.client.whole(address, call, ANSWER_BYTES, left).await;
+        let sent = node
+            .client
+            .whole(address, call, ANSWER_BYTES_MAX, left)
+            .await;
         let note = match &sent {
             Ok(answer) => format!("{} at {address} answered {}", service.name, answer.status),
             Err(failure) => format!("{} at {address}: {failure}", service.name),
         };
-        node.ring.note(node.name(), incoming.id, Hop::Service, note);
+        node.ring
+            .record(node.name(), incoming.id, Hop::Service, note);
         fault = match sent {
             Ok(answer) => {
-                node.retries.earn();
+                node.retries.record_success();
                 return Ok(answer);
             }
             Err(Failure::Unsent(error)) => {
@@ -148,7 +152,7 @@
                 fault
             }
         };
-        if !node.retries.spend() {
+        if !node.retries.take() {
             break;
         }
     }
--- a/crates/router/src/start.rs
+++ b/crates/router/src/start.rs
@@ -1,6 +1,7 @@
-//! Starting a router: what its tasks share, then the tasks.
+//! Starts a router: creates the state that its tasks share, then starts the
+//! tasks.
 //!
-//! This is the one place that knows all tasks; no task knows this module.
+//! Only this module depends on all tasks; no task depends on it.
 
 use std::io;
 use std::sync::Arc;
@@ -9,9 +10,9 @@
 use tidepier_config::Settings;
 use tidepier_http::dial::{self, Dial};
 
-use crate::dialect::callers;
+use crate::dialect::clients;
 use crate::node::Node;
-use crate::{admin, beats, follow, keeper, peers, place, probe};
+use crate::{admin, follow, heartbeat, keeper, peers, place, probe};
 
 impl Node {
     /// Binds the addresses of `settings` and starts all tasks on `executor`.
@@ -23,7 +24,7 @@
         Self::start_over(dial::direct(), settings, executor)
     }
 
-    /// Like [`Node::start`], over a network of the caller's.
+    /// Like [`Node::start`], but dials over the given network.
     ///
     /// # Errors
     ///
@@ -33,11 +34,11 @@
         settings: Settings,
         executor: &Arc<Executor<'static>>,
     ) -> io::Result<Arc<Self>> {
-        let node = Arc::new(Self::new(network, settings, executor, peers::take));
-        callers::start(&node)?;
+        let node = Arc::new(Self::new(network, settings, executor, peers::handle_frame));
+        clients::start(&node)?;
         peers::start(&node)?;
         admin::start(&node)?;
-        beats::start(&node);
+        heartbeat::start(&node);
         follow::start(&node);
         keeper::start(&node);
         place::start(&node);
