--- a/crates/soak/src/bin/tidepier-soak.rs
+++ b/crates/soak/src/bin/tidepier-soak.rs
@@ -12,13 +12,13 @@
 use futures_lite::{future, FutureExt, StreamExt};
 use serde_json::json;
 use tidepier_soak::rule::Verdict;
-use tidepier_soak::run::{self, Outcome, Place};
+use tidepier_soak::run::{self, Options, Outcome};
 
-/// Violations that are printed of one seed; all are in its folder.
-const PRINTED: usize = 5;
+/// Number of violations that are printed for one seed; its folder has all of them.
+const PRINTED_MAX: usize = 5;
 
-/// Runs the relay as processes of their own among stand-ins, harms them by what
-/// a seed decides, and checks what clients and servers see.
+/// Runs relay processes among stand-ins, injects the faults that a seed determines, and
+/// checks what clients and servers observe.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
@@ -28,33 +28,33 @@
     /// Seeds from A to B, both included.
     #[arg(long, value_name = "A..B", conflicts_with_all = ["kept", "minutes"])]
     seeds: Option<Range>,
-    /// All seeds that ever failed: the names of the files of a folder.
+    /// Seeds that failed before: the names of the files of a folder.
     #[arg(long, value_name = "FOLDER", conflicts_with = "minutes")]
     kept: Option<PathBuf>,
-    /// Fresh seeds for so many minutes.
+    /// Random seeds for this many minutes.
     #[arg(long)]
     minutes: Option<f64>,
-    /// Empties halls of servers beside what the seeds decide.
+    /// Also empties halls of servers.
     #[arg(long)]
     emptied_halls: bool,
-    /// Requests end the servers that run them beside what the seeds decide.
+    /// Also sends requests that crash the servers that run them.
     #[arg(long)]
     crashing_requests: bool,
-    /// Machines are suspended beside what the seeds decide.
+    /// Also suspends boxes.
     #[arg(long)]
     suspensions: bool,
-    /// Servers say in answers that they leave, or ask for rest, beside what the seeds
-    /// decide.
+    /// Also has servers that announce in answers that they leave, or request a back-off.
     #[arg(long)]
     words: bool,
-    /// The store goes back to copies of itself beside what the seeds decide.
+    /// Also restores the store from older backups.
     #[arg(long)]
     returns: bool,
-    /// So many boxes in place of what the seeds decide; the faults touch up to the
-    /// first four. Each two have a way between them, so that 60 open 3,540 ports.
+    /// Number of boxes in place of the one that the seeds determine; faults affect up to
+    /// the first four. There is a proxy between each two boxes, so that 60 boxes open 3,540
+    /// ports.
     #[arg(long, value_parser = clap::value_parser!(u16).range(4..=80))]
     boxes: Option<u16>,
-    /// The relay's program; beside this one by default.
+    /// Path of the relay program; by default in the folder of this one.
     #[arg(long)]
     relay: Option<PathBuf>,
     /// Folder for the logs of seeds that fail.
@@ -72,7 +72,9 @@
     type Err = eyre::Report;
 
     fn from_str(text: &str) -> eyre::Result<Self> {
-        let (first, last) = text.split_once("..").ok_or_else(|| eyre!("A..B wanted"))?;
+        let (first, last) = text
+            .split_once("..")
+            .ok_or_else(|| eyre!("expected a range A..B"))?;
         let last = last.strip_prefix('=').unwrap_or(last);
         Ok(Self {
             first: first.parse()?,
@@ -81,7 +83,7 @@
     }
 }
 
-/// What is run: seeds, and until when.
+/// The seeds to run, and the time until which new ones are started.
 struct Plan {
     seeds: Box<dyn Iterator<Item = u64>>,
     until: Option<Instant>,
@@ -98,7 +100,7 @@
         }
         if let Some(folder) = &arguments.kept {
             return Ok(Self {
-                seeds: Box::new(kept(folder)?.into_iter()),
+                seeds: Box::new(kept_seeds(folder)?.into_iter()),
                 until: None,
             });
         }
@@ -116,15 +118,15 @@
     }
 }
 
-/// The seeds that the files of a folder are named by.
-fn kept(folder: &Path) -> eyre::Result<BTreeSet<u64>> {
+/// Reads the seeds from the file names of a folder.
+fn kept_seeds(folder: &Path) -> eyre::Result<BTreeSet<u64>> {
     let mut seeds = BTreeSet::new();
     for entry in std::fs::read_dir(folder)? {
         let file = entry?.path();
         let seed = file
             .file_stem()
             .and_then(|stem| stem.to_str()?.parse().ok());
-        seeds.insert(seed.ok_or_else(|| eyre!("{} is named by no seed", file.display()))?);
+        seeds.insert(seed.ok_or_else(|| eyre!("the name of {} is not a seed", file.display()))?);
     }
     Ok(seeds)
 }
@@ -137,9 +139,9 @@
     };
     let relay = relay
         .canonicalize()
-        .wrap_err_with(|| format!("the relay's program, {}", relay.display()))?;
+        .wrap_err_with(|| format!("relay program {}", relay.display()))?;
     let folder = arguments.folder.clone();
-    let place = Place {
+    let options = Options {
         relay,
         folder,
         emptied_halls: arguments.emptied_halls,
@@ -153,15 +155,15 @@
     let mut outcomes = Vec::new();
     let mut not_run = 0;
     for seed in plan.seeds {
-        // Begun in time, a seed is played to its end.
+        // A seed that was started in time is run to its end.
         if plan.until.is_some_and(|until| Instant::now() >= until) {
             break;
         }
         println!("seed {seed}");
-        let played = async { Some(run::seed(seed, &place).await) };
-        match smol::block_on(played.or(interrupted())) {
+        let finished = async { Some(run::seed(seed, &options).await) };
+        match smol::block_on(finished.or(interrupted())) {
             Some(Ok(outcome)) => {
-                print(&outcome, &place);
+                print(&outcome, &options);
                 outcomes.push(outcome);
             }
             Some(Err(error)) => {
@@ -179,47 +181,47 @@
     })
 }
 
-/// Waits until the soak is asked to end; its processes then end with it.
+/// Waits until the soak is told to stop; its processes then end with it.
 async fn interrupted<T>() -> Option<T> {
     match Signals::new([Signal::Int, Signal::Term]) {
         Ok(mut signals) => signals.next().await.and(None),
         Err(error) => {
-            eprintln!("signals cannot be taken: {error}");
+            eprintln!("cannot install signal handlers: {error}");
             future::pending().await
         }
     }
 }
 
-fn print(outcome: &Outcome, place: &Place) {
+fn print(outcome: &Outcome, options: &Options) {
     let Outcome {
         seed,
         requests,
-        times,
+        latencies,
         verdict,
-        took,
+        duration,
         ..
     } = outcome;
-    let served = times.len();
+    let served = latencies.len();
     let faults: u64 = outcome.faults.values().sum();
     let left_out = left_out([verdict].into_iter());
     println!(
         "seed {seed}: {} violations, {faults} faults, {served} of {requests} served, \
          median {} ms, 99 of 100 within {} ms, left out {left_out:?}, {:.1} s",
         verdict.violations.len(),
-        times.value_at_quantile(0.5),
-        times.value_at_quantile(0.99),
-        took.as_secs_f64(),
+        latencies.value_at_quantile(0.5),
+        latencies.value_at_quantile(0.99),
+        duration.as_secs_f64(),
     );
-    for violation in verdict.violations.iter().take(PRINTED) {
+    for violation in verdict.violations.iter().take(PRINTED_MAX) {
         println!("  {violation}");
     }
     if !verdict.violations.is_empty() {
-        let folder = place.folder.join(format!("seed-{seed}"));
+        let folder = options.folder.join(format!("seed-{seed}"));
         println!("  logs in {}", folder.display());
     }
 }
 
-/// Checks that were left out, by rule.
+/// Number of checks that were left out, by rule.
 fn left_out<'a>(verdicts: impl Iterator<Item = &'a Verdict>) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for (rule, ids) in verdicts.flat_map(|verdict| &verdict.left_out) {
@@ -238,7 +240,7 @@
         "soak_seeds": outcomes.len(),
         "faults": faults,
         "requests": outcomes.iter().map(|outcome| outcome.requests).sum::<u64>(),
-        "violations": run::count(verdicts()),
+        "violations": run::count_by_rule(verdicts()),
         "left_out": left_out(verdicts()),
         "not_run": not_run,
     })
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -1,7 +1,7 @@
-//! What can go wrong in a run, or change by plan, and its name in reports.
+//! Faults and planned changes of a run, and their names in reports.
 //!
-//! Boxes and servers are named by numbers, which are taken modulo how many
-//! there are when the fault begins.
+//! Boxes and servers are identified by numbers, taken modulo the number of them that exist
+//! when the fault begins.
 
 use std::fmt::Debug;
 use std::time::Duration;
@@ -9,123 +9,126 @@
 use tidepier_relay_standin::server;
 use tidepier_relay_standin::store::Down;
 
-use crate::way::Harm;
+use crate::proxy::Impairment;
 
-/// Two sides that talk to each other.
+/// A network link between two parties.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Link {
-    /// Clients and a box.
+    /// Between the clients and a box.
     Client(usize),
-    /// All boxes and a server.
+    /// Between all boxes and a server.
     Server(usize),
-    /// A box and the store.
+    /// Between a box and the store.
     Store(usize),
-    /// A box that asks and one that is asked.
+    /// From a box to another one that it sends peer requests to.
     Peer(usize, usize),
 }
 
-/// The signal that a process gets.
+/// A signal sent to the process of a box.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Signal {
-    /// SIGSTOP, later SIGCONT.
+    /// SIGSTOP, and SIGCONT when the fault ends.
     Freeze,
-    /// The same for longer than anything is believed, and beside other such signals.
+    /// SIGSTOP for longer than a box may act on its local view without confirming it.
+    /// Several may overlap; the process goes on after the last one.
     Suspend,
-    /// SIGTERM; started again once it has ended.
+    /// SIGTERM; the process is started again once it has exited.
     Terminate,
-    /// SIGKILL; started again later.
+    /// SIGKILL; the process is started again later.
     Kill,
-    /// Another settings file, and SIGHUP.
+    /// A changed settings file, and SIGHUP.
     Reload,
 }
 
-/// What is wrong with the store.
+/// A fault of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Store {
-    /// Answers take longer.
+    /// Answers are delayed by this.
     Slow(Duration),
-    /// It does not answer properly at all.
+    /// No call is answered properly.
     Down(Down),
-    /// Calls get 429.
+    /// Calls are answered with 429.
     Refusing,
-    /// The next writing calls are done and not answered.
+    /// The next write calls are executed but not answered.
     Losing,
-    /// The history is forgotten.
+    /// The store discards its history, so that watches cannot resume.
     Forgetful,
-    /// Watches learn of nothing.
+    /// Watches deliver no changes.
     Deaf,
-    /// It goes back to a copy of itself.
+    /// The store is restored from an older backup.
     Return(Return),
 }
 
-/// How the store goes back to an older copy of itself.
+/// How the store is restored from an older backup.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Return {
-    /// How it is away before that; `None`: not at all.
+    /// The outage before the restore; `None`: there is none.
     pub away: Option<Down>,
-    /// How old the copy is.
+    /// Age of the backup.
     pub behind: Duration,
-    /// Time until the operator writes again.
+    /// Time from the restore until the operator writes its entries again.
     pub operator: Duration,
-    /// Longest time until a server does.
+    /// Bound on the time from the restore until each server writes its entry again.
     pub servers: Duration,
 }
 
-/// What a server does wrong.
+/// A fault of a server, or a change that it makes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Server {
-    /// All of its requests go wrong.
+    /// All of its requests fail in this way.
     Faulty(server::Fault),
-    /// Accepts requests and answers none.
+    /// It accepts requests and answers none.
     Dark,
-    /// Works several times as long.
+    /// Its requests take several times as long.
     Slow,
-    /// Ends without announcing it; another one comes.
+    /// It crashes; another server is added.
     Crash,
-    /// Says that it leaves, leaves and serves on; another one comes.
+    /// Its entry announces that it leaves, and it goes on serving until the entry is
+    /// removed; another server is added.
     Leave,
-    /// Another one comes.
+    /// A server is added.
     Join,
-    /// Says by its answers alone that it leaves, leaves and serves on; another one comes.
+    /// It announces only in its answers that it leaves, and goes on serving until its entry
+    /// is removed; another server is added.
     Say,
-    /// Turns all requests away and asks for so much rest.
+    /// It rejects all requests and requests a back-off of this length.
     Rest(Duration),
 }
 
 /// A change by the operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Config {
-    /// A route goes to a service of its own, which tells the version.
+    /// A route is directed to a new service, whose name holds the number of the version.
     Mark,
-    /// Several of these in quick succession.
+    /// Several such changes in quick succession.
     Storm,
-    /// A key is taken away, and another one added.
+    /// A key is removed and another one added.
     Revoke,
-    /// A hall of servers is to be empty, and is taken back later.
+    /// A hall of servers is emptied, and the emptying is cancelled later.
     EmptyHall(usize),
 }
 
 /// One fault or planned change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// A way between two sides is harmed.
-    Link(Link, Harm),
-    /// A process gets a signal.
+    /// A link is impaired.
+    Link(Link, Impairment),
+    /// The process of a box gets a signal.
     Process(usize, Signal),
-    /// The store is out of order.
+    /// The store is faulty.
     Store(Store),
-    /// A server is out of order.
+    /// A server is faulty or changes.
     Server(usize, Server),
-    /// All requests go wrong at all servers.
+    /// All requests fail at all servers.
     Servers(server::Fault),
-    /// A request ends the servers that run it, and is sent again and again.
+    /// A request crashes the servers that run it, and is sent again and again.
     Crashing(usize),
-    /// The configuration changes.
+    /// The operator changes the configuration.
     Config(Config),
 }
 
 impl Fault {
-    /// Its name in reports.
+    /// The name of the fault in reports.
     pub fn name(&self) -> String {
         match self {
             Fault::Link(link, harm) => format!("{}_way_{}", link.name(), harm.name()),
@@ -145,7 +148,7 @@
     }
 }
 
-/// The name of a variant without fields, after that of what it happens to.
+/// Joins the subject of a fault and the name of a variant without fields.
 fn named(what: &str, variant: &dyn Debug) -> String {
     format!("{what}_{variant:?}").to_lowercase()
 }
--- /dev/null
+++ b/crates/soak/src/fleet/crashing.rs
@@ -0,0 +1,121 @@
+//! Requests that crash the servers that begin to run them and are sent again and again to
+//! all boxes, and servers that replace the crashed ones.
+
+use std::time::{Duration, Instant};
+
+use futures_lite::FutureExt;
+use smol::Timer;
+use tidepier_relay_standin::client::Call;
+use tidepier_relay_standin::site::HOST;
+use tidepier_relay_standin::Client;
+
+use super::servers::Backend;
+use super::Fleet;
+use crate::ledger::{Request, Traffic};
+use crate::plan;
+use crate::proxy::Impairment;
+use crate::sync::lock;
+
+/// Time between two requests of the same content.
+const SEND_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval between two checks for crashed servers.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time from the crash of a server until another one replaces it.
+const REPLACEMENT_DELAY: Duration = Duration::from_millis(1_000);
+/// Kinds of these requests; each such fault uses the next one.
+const REQUEST_KINDS: [Traffic; 4] = [
+    Traffic::Once,
+    Traffic::Repeatable,
+    Traffic::Single,
+    Traffic::Resumable,
+];
+
+impl Fleet {
+    /// Sends a request that crashes servers to the boxes in turn for this long.
+    pub(super) async fn send_crashing_request(
+        &self,
+        number: usize,
+        lasts: Duration,
+    ) -> eyre::Result<()> {
+        let content = format!("guilty-{number}");
+        lock(&self.crashing_contents).push(content.clone().into_bytes());
+        for backend in self.backends() {
+            backend.server.end_on(content.as_bytes());
+        }
+        let sent = async {
+            self.send_repeatedly(&content, REQUEST_KINDS[number % REQUEST_KINDS.len()], lasts)
+                .await;
+            // Time for the last crashed servers to be replaced as well.
+            Timer::after(REPLACEMENT_DELAY + SEND_INTERVAL).await;
+            Ok(())
+        };
+        sent.or(self.replace_crashed()).await
+    }
+
+    async fn send_repeatedly(&self, content: &str, traffic: Traffic, lasts: Duration) {
+        let start = Instant::now();
+        for number in 0.. {
+            if start.elapsed() > lasts {
+                return;
+            }
+            let request = Request {
+                id: format!("{content}-{number}"),
+                traffic,
+                content: Some(content.into()),
+                box_index: number % self.box_count(),
+                key: None,
+                sent: Instant::now(),
+                ended: None,
+                answer: None,
+            };
+            let call = Call::new("POST", HOST, &request.target(), &request.id);
+            let call = call.body(request.body()).leaving(plan::CLIENT_TIMEOUT);
+            let address = self.client_address(request.box_index);
+            let number_in_ledger = self.ledger.record_sent(request);
+            let answer = Client::once(address, &call).await;
+            self.ledger.record_ended(number_in_ledger, answer.ok());
+            Timer::after(SEND_INTERVAL).await;
+        }
+    }
+
+    /// Replaces each server that crashed under such a request. Returns only with an error.
+    async fn replace_crashed(&self) -> eyre::Result<()> {
+        loop {
+            Timer::after(POLL_INTERVAL).await;
+            for backend in self.backends() {
+                if !self.crashed_on_content(&backend) {
+                    continue;
+                }
+                // First the open connections are reset, and in the next round the listener
+                // is closed.
+                if !backend.proxy.has(Impairment::Reset) {
+                    backend.proxy.impair(Impairment::Reset);
+                    continue;
+                }
+                backend.proxy.close();
+                let crashed = backend.server.crashed();
+                let is_due = crashed.is_some_and(|at| at.elapsed() > REPLACEMENT_DELAY);
+                let id = backend.server.settings().id.clone();
+                if is_due && lock(&self.replaced_servers).insert(id) {
+                    self.withdraw(&backend.server);
+                    self.add_server(&backend.server.settings().service)?;
+                }
+            }
+        }
+    }
+
+    /// Whether a server crashed while it ran a request that crashes servers.
+    fn crashed_on_content(&self, backend: &Backend) -> bool {
+        if !backend.server.is_crashed() {
+            return false;
+        }
+        let crashing_contents = lock(&self.crashing_contents).clone();
+        let runs = backend.server.runs();
+        let mut under = runs.iter().filter(|run| run.is_open());
+        under.any(|run| {
+            run.body
+                .as_ref()
+                .is_some_and(|body| crashing_contents.contains(body))
+        })
+    }
+}
--- a/crates/soak/src/fleet/mod.rs
+++ b/crates/soak/src/fleet/mod.rs
@@ -1,12 +1,12 @@
-//! The processes and stand-ins of a run, and the ways between them.
+//! The processes and stand-ins of a run, and the proxies between them.
 //!
-//! Each box has an address of its own in 127.0.0.0/8. It sees the store through
-//! a view of its own, in which every other box stands with the address of the
-//! way from here to there.
+//! Each box has an address of its own in 127.0.0.0/8. It uses the store through a view of
+//! its own, which replaces the address of every other box by that of the proxy from this
+//! box to that one.
 
-mod guilty;
-mod machine;
-mod returns;
+mod crashing;
+mod relay_box;
+mod restore;
 mod servers;
 mod steps;
 
@@ -29,67 +29,70 @@
 
 use crate::bound;
 use crate::ledger::{Fact, Ledger, Traffic};
-use crate::plan::{self, MARK, PLAIN, STREAM};
+use crate::plan::{self, MARK_PREFIX, PLAIN, STREAM};
 use crate::process::Level;
+use crate::proxy::Proxy;
 use crate::schedule::Schedule;
 use crate::sync::lock;
-use crate::way::Way;
-use machine::Machine;
+use relay_box::RelayBox;
 use servers::Backend;
 
-/// Ports of a box; none that the system gives out.
+/// Ports of a box; outside of the range that the system assigns.
 const PEER_PORT: u16 = 20_711;
-const CALLERS_PORT: u16 = 20_712;
+const CLIENT_PORT: u16 = 20_712;
 const READY_PORT: u16 = 20_713;
-/// Servers of the two services at the start.
-const SERVERS: usize = 3;
-/// Keys that are valid at any time.
-const KEYS: usize = 3;
-/// Longest time until all boxes are ready at the start.
-const START_TIME: Duration = Duration::from_secs(20);
-/// Pause between two checks whether a box is ready.
-const LOOK: Duration = Duration::from_millis(50);
-/// Longest time of a question whether a box is ready.
-const READY_TIME: Duration = Duration::from_millis(900);
-/// Link of the first box, and how much weaker each further one's is, so that
-/// it is known which box reads the store.
+/// Servers of each of the two services at the start.
+const SERVERS_PER_SERVICE: usize = 3;
+/// Number of keys that are valid at any time.
+const VALID_KEYS: usize = 3;
+/// Time-out for all boxes to become ready at the start.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval between two checks whether a box is ready.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time-out of one readiness check.
+const READY_TIMEOUT: Duration = Duration::from_millis(900);
+/// Link bandwidth of the first box, and the difference to each further one, so that it is
+/// known which box becomes the reader of the store.
 const LINK_MBPS: usize = 5_000;
-const LINK_STEP: usize = 1_000;
+const LINK_STEP_MBPS: usize = 1_000;
 
-/// The weakest link of any box.
-const LINK_MIN: usize = 100;
+/// Lowest link bandwidth of any box.
+const LINK_MIN_MBPS: usize = 100;
 
-/// The link of a box.
-fn link_mbps(place: usize) -> usize {
-    LINK_MBPS.saturating_sub(place * LINK_STEP).max(LINK_MIN)
+/// The link bandwidth of a box.
+fn link_mbps(box_index: usize) -> usize {
+    LINK_MBPS
+        .saturating_sub(box_index * LINK_STEP_MBPS)
+        .max(LINK_MIN_MBPS)
 }
 
 /// A running fleet.
 pub struct Fleet {
-    /// What is done and seen.
+    /// Records what is done and observed.
     pub ledger: Ledger,
     site: Site,
-    machines: Vec<Machine>,
+    boxes: Vec<RelayBox>,
     views: Mutex<Vec<View>>,
-    peers: Vec<Vec<Way>>,
+    peer_proxies: Vec<Vec<Proxy>>,
     backends: Mutex<Vec<Arc<Backend>>>,
     keys: Mutex<Vec<String>>,
-    /// Bodies of requests that end their servers.
-    guilty: Mutex<Vec<Vec<u8>>>,
-    /// Servers that ended so and whose place another one has.
-    replaced: Mutex<HashSet<String>>,
-    marks: AtomicU32,
-    named: AtomicU32,
-    /// Whether the store takes nothing, not even of the operator.
-    away: AtomicBool,
-    copies: Mutex<returns::Copies>,
-    /// Halls that the operator has asked to empty.
+    /// Bodies of requests that crash servers.
+    crashing_contents: Mutex<Vec<Vec<u8>>>,
+    /// Servers that crashed under such a request and have been replaced.
+    replaced_servers: Mutex<HashSet<String>>,
+    next_mark: AtomicU32,
+    next_server: AtomicU32,
+    /// Whether an outage before a restore is in progress, in which the store accepts no
+    /// writes, not even from the operator.
+    store_unreachable: AtomicBool,
+    backups: Mutex<restore::Backups>,
+    /// Halls that the operator has emptied.
     emptied: Mutex<BTreeSet<String>>,
     /// Servers whose entries were removed.
-    withdrawn: Mutex<HashSet<String>>,
+    withdrawn_servers: Mutex<HashSet<String>>,
 }
 
-/// A fleet whose processes end when this is dropped.
+/// A fleet whose processes end when this value is dropped.
 pub struct Running(Arc<Fleet>);
 
 impl std::ops::Deref for Running {
@@ -107,188 +110,195 @@
 }
 
 impl Fleet {
-    /// Starts everything and waits until all boxes are ready.
+    /// Starts all servers, proxies and boxes, and waits until all boxes are ready.
     ///
     /// # Errors
     ///
-    /// A port or program cannot be used, or a box does not become ready.
+    /// A port or the program cannot be used, or a box does not become ready.
     pub async fn start(schedule: &Schedule, relay: &Path, folder: &Path) -> eyre::Result<Running> {
         let site = Site::start()?;
-        plan::declare(&site);
+        plan::declare_routes(&site);
         let peers: Vec<SocketAddr> = (0..schedule.boxes)
             .map(|_| SocketAddr::from((plan::box_ip(), PEER_PORT)))
             .collect();
         let mut fleet = Self {
             ledger: Ledger::default(),
             site,
-            machines: Vec::new(),
+            boxes: Vec::new(),
             views: Mutex::default(),
-            peers: Vec::new(),
+            peer_proxies: Vec::new(),
             backends: Mutex::default(),
             keys: Mutex::new(Vec::new()),
-            guilty: Mutex::default(),
-            replaced: Mutex::default(),
-            marks: AtomicU32::new(0),
-            named: AtomicU32::new(0),
-            away: AtomicBool::new(false),
-            copies: Mutex::default(),
+            crashing_contents: Mutex::default(),
+            replaced_servers: Mutex::default(),
+            next_mark: AtomicU32::new(0),
+            next_server: AtomicU32::new(0),
+            store_unreachable: AtomicBool::new(false),
+            backups: Mutex::default(),
             emptied: Mutex::default(),
-            withdrawn: Mutex::default(),
+            withdrawn_servers: Mutex::default(),
         };
-        for _ in 0..SERVERS {
+        for _ in 0..SERVERS_PER_SERVICE {
             fleet.add_server(PLAIN)?;
             fleet.add_server(STREAM)?;
         }
         fleet.change_keys(0);
-        fleet.mark()?;
-        for (place, peer) in peers.iter().enumerate() {
+        fleet.add_mark()?;
+        for (box_index, peer) in peers.iter().enumerate() {
             let settings = json!({
-                "name": format!("box-{place}"),
-                "hall": plan::hall(place, schedule.halls),
-                "callers": SocketAddr::new(peer.ip(), CALLERS_PORT).to_string(),
+                "name": format!("box-{box_index}"),
+                "hall": plan::hall_name(box_index, schedule.halls),
+                "callers": SocketAddr::new(peer.ip(), CLIENT_PORT).to_string(),
                 "readiness": SocketAddr::new(peer.ip(), READY_PORT).to_string(),
                 "peer_ports": [PEER_PORT, PEER_PORT],
                 "server_beat": "1200ms",
-                "limits": { "link_mbps": link_mbps(place), "memory_mb": 260 },
+                "limits": { "link_mbps": link_mbps(box_index), "memory_mb": 260 },
                 "bounds": bound::settings(),
             });
-            let machine = fleet.machine(place, *peer, &peers, settings, relay, folder)?;
-            fleet.machines.push(machine);
+            let relay_box = fleet.new_box(box_index, *peer, &peers, settings, relay, folder)?;
+            fleet.boxes.push(relay_box);
         }
         let fleet = Arc::new(fleet);
         let running = Running(fleet.clone());
-        for place in 0..fleet.boxes() {
-            fleet.start_box(place)?;
+        for box_index in 0..fleet.box_count() {
+            fleet.start_box(box_index)?;
         }
-        fleet.all_ready().await?;
+        fleet.wait_until_ready().await?;
         Ok(running)
     }
 
-    /// The ways of a box to all others, its view of the store, and itself.
-    fn machine(
+    /// Creates a box, its proxies to all others and its view of the store.
+    fn new_box(
         &mut self,
-        place: usize,
+        box_index: usize,
         peer: SocketAddr,
         peers: &[SocketAddr],
         mut settings: serde_json::Value,
         relay: &Path,
         folder: &Path,
-    ) -> eyre::Result<Machine> {
-        let ways = peers.iter().map(|peer| Way::open(*peer));
-        let ways = ways.collect::<std::io::Result<Vec<Way>>>()?;
-        let others = peers.iter().zip(&ways).filter(|(other, _)| **other != peer);
+    ) -> eyre::Result<RelayBox> {
+        let proxies = peers.iter().map(|peer| Proxy::open(*peer));
+        let proxies = proxies.collect::<std::io::Result<Vec<Proxy>>>()?;
+        let others = peers
+            .iter()
+            .zip(&proxies)
+            .filter(|(other, _)| **other != peer);
         let quoted = |address: SocketAddr| format!("\"{address}\"");
-        let texts = others.map(|(peer, way)| (quoted(*peer), quoted(way.address())));
+        let texts = others.map(|(peer, proxy)| (quoted(*peer), quoted(proxy.address())));
         let view = self.site.store.view(texts.collect())?;
-        let store = Way::open(view.address())?;
+        let store = Proxy::open(view.address())?;
         lock(&self.views).push(view);
-        self.peers.push(ways);
+        self.peer_proxies.push(proxies);
         settings["store"] = json!({ "address": store.address().to_string() });
         let files: [PathBuf; 3] = [
             relay.into(),
-            folder.join(format!("box-{place}.json")),
-            folder.join(format!("box-{place}.log")),
+            folder.join(format!("box-{box_index}.json")),
+            folder.join(format!("box-{box_index}.log")),
         ];
-        let front = Way::open(SocketAddr::new(peer.ip(), CALLERS_PORT))?;
+        let front = Proxy::open(SocketAddr::new(peer.ip(), CLIENT_PORT))?;
         let ready = SocketAddr::new(peer.ip(), READY_PORT);
-        Ok(Machine::new(files, settings, store, front, ready))
+        Ok(RelayBox::new(files, settings, store, front, ready))
     }
 
-    /// Ends all processes for good. Tasks that hold the fleet may outlive this.
+    /// Ends all processes for good. Tasks that hold the fleet may go on after this.
     pub fn finish(&self) {
-        self.machines.iter().for_each(Machine::finish);
+        self.boxes.iter().for_each(RelayBox::finish);
     }
 
     /// Number of boxes.
-    pub fn boxes(&self) -> usize {
-        self.machines.len()
+    pub fn box_count(&self) -> usize {
+        self.boxes.len()
     }
 
-    /// Where clients of a box connect.
-    pub fn front(&self, place: usize) -> SocketAddr {
-        self.machines[place].front.address()
+    /// The address that clients of a box connect to.
+    pub fn client_address(&self, box_index: usize) -> SocketAddr {
+        self.boxes[box_index].client_proxy.address()
     }
 
-    /// One of the keys that there are or were; those of today more often.
-    pub fn some_key(&self, rng: &mut ChaCha8Rng) -> String {
+    /// Picks one of the current and former keys, a current one more often.
+    pub fn pick_key(&self, rng: &mut ChaCha8Rng) -> String {
         let keys = lock(&self.keys);
-        let today = &keys[keys.len() - KEYS..];
-        let some = [today, today, &keys].concat();
-        some.choose(rng).cloned().unwrap_or_default()
+        let valid = &keys[keys.len() - VALID_KEYS..];
+        let candidates = [valid, valid, &keys].concat();
+        candidates.choose(rng).cloned().unwrap_or_default()
     }
 
-    /// Time that a box was ready to run and had no processor, if it runs.
-    pub fn waited(&self, place: usize) -> Option<Duration> {
-        self.machines[place].waited()
+    /// Time that the process of a box was runnable but had no processor, if it runs.
+    pub fn run_queue_wait(&self, box_index: usize) -> Option<Duration> {
+        self.boxes[box_index].run_queue_wait()
     }
 
-    /// What the process of a box holds, if it runs.
-    pub fn level(&self, place: usize) -> Option<Level> {
-        self.machines[place].level()
+    /// The resources that the process of a box holds, if it runs.
+    pub fn level(&self, box_index: usize) -> Option<Level> {
+        self.boxes[box_index].level()
     }
 
-    /// Whether a box says that it is ready.
-    pub async fn is_ready(&self, place: usize) -> bool {
-        let call = Call::new("GET", HOST, names::READY, "ready").leaving(READY_TIME);
-        let answer = Client::once(self.machines[place].ready, &call).await;
+    /// Whether a box reports that it is ready.
+    pub async fn is_ready(&self, box_index: usize) -> bool {
+        let call = Call::new("GET", HOST, names::READY, "ready").leaving(READY_TIMEOUT);
+        let answer = Client::once(self.boxes[box_index].readiness_address, &call).await;
         answer.is_ok_and(|answer| answer.status == 200)
     }
 
-    async fn all_ready(&self) -> eyre::Result<()> {
+    async fn wait_until_ready(&self) -> eyre::Result<()> {
         let start = Instant::now();
-        for place in 0..self.boxes() {
-            while !self.is_ready(place).await {
-                ensure!(start.elapsed() < START_TIME, "box {place} never ready");
-                Timer::after(LOOK).await;
+        for box_index in 0..self.box_count() {
+            while !self.is_ready(box_index).await {
+                ensure!(
+                    start.elapsed() < START_TIMEOUT,
+                    "box {box_index} did not become ready in time"
+                );
+                Timer::after(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    /// Starts the process of a box.
-    pub(crate) fn start_box(&self, place: usize) -> eyre::Result<()> {
-        self.machines[place].start()?;
-        self.ledger.fact(Fact::Born(place));
+    /// Starts the process of a box and records it.
+    pub(crate) fn start_box(&self, box_index: usize) -> eyre::Result<()> {
+        self.boxes[box_index].start()?;
+        self.ledger.record_fact(Fact::Born(box_index));
         Ok(())
     }
 
-    /// Records processes that ended without a signal, and starts them again.
+    /// Records processes that ended without a signal from the soak, and starts them again.
     pub fn restart_ended(&self) -> eyre::Result<()> {
-        for (place, machine) in self.machines.iter().enumerate() {
-            if let Some(status) = machine.died()? {
-                self.ledger.fact(Fact::Died(place, status.to_string()));
-                self.start_box(place)?;
+        for (box_index, relay_box) in self.boxes.iter().enumerate() {
+            if let Some(status) = relay_box.unexpected_exit()? {
+                self.ledger
+                    .record_fact(Fact::Died(box_index, status.to_string()));
+                self.start_box(box_index)?;
             }
         }
         Ok(())
     }
 
-    /// Takes away so many of the oldest valid keys and adds as many.
+    /// Removes this many of the oldest valid keys and adds as many new ones.
     fn change_keys(&self, count: usize) {
         let mut keys = lock(&self.keys);
-        let first = keys.len().saturating_sub(KEYS);
+        let first = keys.len().saturating_sub(VALID_KEYS);
         let gone = keys[first..].iter().take(count).cloned();
         let gone: Vec<String> = gone.collect();
-        while keys.len() < first + KEYS + count {
+        while keys.len() < first + VALID_KEYS + count {
             let key = format!("key-{}", keys.len());
             keys.push(key);
         }
-        let today: Vec<&str> = keys[first + count..].iter().map(String::as_str).collect();
-        self.ledger.fact(Fact::Configuring);
-        self.site.account(plan::ACCOUNT, &today, 0);
+        let valid: Vec<&str> = keys[first + count..].iter().map(String::as_str).collect();
+        self.ledger.record_fact(Fact::Configuring);
+        self.site.account(plan::ACCOUNT, &valid, 0);
         for key in gone {
-            self.ledger.fact(Fact::KeyGone(key));
+            self.ledger.record_fact(Fact::KeyGone(key));
         }
     }
 
-    /// Sends the mark route to a new service.
-    fn mark(&self) -> eyre::Result<()> {
-        let number = self.marks.fetch_add(1, Ordering::Relaxed);
-        let service = format!("{MARK}{number}");
+    /// Directs the route of [`Traffic::Mark`] to a new service, which shows the version.
+    fn add_mark(&self) -> eyre::Result<()> {
+        let number = self.next_mark.fetch_add(1, Ordering::Relaxed);
+        let service = format!("{MARK_PREFIX}{number}");
         self.add_server(&service)?;
-        self.ledger.fact(Fact::Configuring);
+        self.ledger.record_fact(Fact::Configuring);
         self.site.direct(Traffic::Mark.prefix(), &service);
-        self.ledger.fact(Fact::Marked(number));
+        self.ledger.record_fact(Fact::Marked(number));
         Ok(())
     }
 }
--- a/crates/soak/src/fleet/servers.rs
+++ b/crates/soak/src/fleet/servers.rs
@@ -1,4 +1,4 @@
-//! The stand-in servers of a fleet, each behind a way of its own.
+//! The stand-in servers of a fleet, each behind its own proxy.
 
 use std::io;
 use std::sync::atomic::Ordering;
@@ -11,67 +11,67 @@
 use tidepier_relay_standin::Server;
 
 use super::Fleet;
-use crate::evidence::Seen;
+use crate::evidence::Delivery;
 use crate::ledger::Loads;
 use crate::plan::{self, STREAM};
+use crate::proxy::Proxy;
 use crate::sync::lock;
-use crate::way::Way;
 
-/// Requests that a server works on at once.
+/// Requests that a server processes concurrently.
 const SLOTS: usize = 16;
-/// Requests that wait at a server.
+/// Length of the queue of a server.
 const QUEUE: usize = 16;
-/// Time of one request, or until the first event.
-const WORK: Duration = Duration::from_millis(20);
-/// Events of a stream and the pause between two.
+/// Time that a request takes, or the time until its first event.
+const WORK_TIME: Duration = Duration::from_millis(20);
+/// Number of events of a stream and the pause between two.
 const EVENTS: Events = Events {
     count: 10,
     pause: Duration::from_millis(40),
 };
 /// Size of plain answers, in bytes.
 const ANSWER_BYTES: usize = 800;
-/// Time between two samples of the servers' loads.
-const SAMPLE: Duration = Duration::from_millis(20);
+/// Interval between two samples of the servers' loads.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A server and the way to it.
+/// A server and the proxy to it.
 pub(super) struct Backend {
     pub(super) server: Server,
-    pub(super) way: Way,
+    pub(super) proxy: Proxy,
 }
 
 impl Fleet {
-    /// Starts a server of a service and announces it.
+    /// Starts a server of a service and writes its entry.
     pub(super) fn add_server(&self, service: &str) -> io::Result<()> {
-        let number = self.named.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_server.fetch_add(1, Ordering::Relaxed);
         let server = Server::start(Settings {
             id: format!("i-{number}"),
             service: service.into(),
-            hall: plan::hall(number as usize, plan::SERVER_HALLS),
+            hall: plan::hall_name(number as usize, plan::SERVER_HALLS),
             slots: SLOTS,
             queue: QUEUE,
-            work: WORK,
+            work: WORK_TIME,
             answer_bytes: ANSWER_BYTES,
             events: (service == STREAM).then_some(EVENTS),
             ..Settings::default()
         })?;
-        for body in lock(&self.guilty).iter() {
+        for body in lock(&self.crashing_contents).iter() {
             server.end_on(body);
         }
-        let way = Way::open(server.address())?;
-        let backend = Backend { server, way };
+        let proxy = Proxy::open(server.address())?;
+        let backend = Backend { server, proxy };
         self.announce(&backend, State::Ready);
         lock(&self.backends).push(Arc::new(backend));
         Ok(())
     }
 
     pub(super) fn announce(&self, backend: &Backend, state: State) {
-        let address = backend.way.address();
+        let address = backend.proxy.address();
         self.site.announce_at(&backend.server, address, state);
     }
 
     /// Removes a server's entry for good.
     pub(super) fn withdraw(&self, server: &Server) {
-        lock(&self.withdrawn).insert(server.settings().id.clone());
+        lock(&self.withdrawn_servers).insert(server.settings().id.clone());
         self.site.withdraw(server);
     }
 
@@ -79,26 +79,26 @@
         lock(&self.backends).clone()
     }
 
-    /// Everything that has reached servers.
-    pub fn seen(&self) -> Vec<Seen> {
-        let mut seen = Vec::new();
+    /// All deliveries to servers so far.
+    pub fn deliveries(&self) -> Vec<Delivery> {
+        let mut deliveries = Vec::new();
         for backend in self.backends() {
             let server = backend.server.settings();
             let runs = backend.server.runs().into_iter();
             let crashed = backend.server.crashed();
-            seen.extend(runs.map(|run| Seen {
+            deliveries.extend(runs.map(|run| Delivery {
                 server: server.clone(),
                 run,
                 crashed,
             }));
         }
-        seen
+        deliveries
     }
 
-    /// Notes the servers' loads until it is dropped.
-    pub async fn sample(self: Arc<Self>) {
+    /// Records the loads of the servers until the task is dropped.
+    pub async fn sample_loads(self: Arc<Self>) {
         loop {
-            Timer::after(SAMPLE).await;
+            Timer::after(SAMPLE_INTERVAL).await;
             let backends = self.backends();
             for service in [super::PLAIN, STREAM] {
                 let of = backends.iter().filter(|backend| {
@@ -108,10 +108,10 @@
                     let server = &backend.server;
                     (server.settings().id.clone(), server.running())
                 });
-                self.ledger.loads(Loads {
+                self.ledger.record_loads(Loads {
                     at: Instant::now(),
                     service: service.into(),
-                    held: held.collect(),
+                    in_flight: held.collect(),
                 });
             }
         }
--- a/crates/soak/src/fleet/steps.rs
+++ b/crates/soak/src/fleet/steps.rs
@@ -1,4 +1,4 @@
-//! Carries out the steps of a schedule. Each is noted before it begins and
+//! Carries out the steps of a schedule. The ledger records each one before it begins and
 //! after it has ended.
 
 use std::io;
@@ -13,28 +13,28 @@
 use super::servers::Backend;
 use super::Fleet;
 use crate::fault::{self, Config, Fault, Link, Server, Store};
-use crate::ledger::{Fact, Place};
+use crate::ledger::{Fact, Scope};
+use crate::proxy::{Impairment, Proxy};
 use crate::schedule::Step;
 use crate::sync::lock;
-use crate::way::{Harm, Way};
 use crate::{bound, plan};
 
-/// Time between two checks whether a process has ended.
-const LOOK: Duration = Duration::from_millis(10);
-/// Time that a process needs to stop: it takes connections for 2.9 s of it, and has
-/// half a second for what is open.
-const STOPS_IN: Duration = Duration::from_millis(3_400);
-/// Time from the announcement that a server leaves to its entry's removal.
-const LEAVE_TIME: Duration = Duration::from_millis(2_500);
-/// Configurations of a storm, and the time between two.
-const STORM: usize = 4;
-const STORM_PAUSE: Duration = Duration::from_millis(120);
-/// Writing calls whose answers are lost.
+/// Interval between two checks whether a process has exited.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Time that a process needs for a graceful shutdown: it accepts connections for 2.9 s of
+/// it, and has half a second for what is open.
+const STOP_TIME_MIN: Duration = Duration::from_millis(3_400);
+/// Time from the announcement that a server leaves until its entry is removed.
+const LEAVING_TIME: Duration = Duration::from_millis(2_500);
+/// Number of configurations of [`Config::Storm`], and the time between two.
+const STORM_CHANGES: usize = 4;
+const STORM_INTERVAL: Duration = Duration::from_millis(120);
+/// Number of write calls of [`Store::Losing`], which are executed but not answered.
 const LOST_CALLS: u32 = 3;
-/// How many times its usual time a slow server works.
-const SLOWNESS: f64 = 5.0;
-/// Size of the longest hold-up of work that a reload may bring, for the record
-/// of the disturbance: the bound on changed settings.
+/// Factor by which the requests of a slow server take longer.
+const SLOWDOWN_FACTOR: f64 = 5.0;
+/// Duration that the ledger records for a reload: the bound on the time in which it may
+/// delay requests.
 const RELOAD_TIME: Duration = Duration::from_secs(2);
 
 impl Fleet {
@@ -42,90 +42,93 @@
     ///
     /// # Errors
     ///
-    /// A process could not be signalled or started, or a port not be opened.
+    /// A process cannot be signalled or started, or a port cannot be opened.
     pub async fn carry_out(self: Arc<Self>, step: Step) -> eyre::Result<()> {
         let name = step.fault.name();
-        let (places, planned) = self.touched(&step.fault);
+        let (scopes, planned) = self.scopes_of(&step.fault);
         self.ledger.count_fault(&name);
-        let begin = |place: &Place| self.ledger.begin(*place, &name, planned);
-        let notes: Vec<usize> = places.iter().map(begin).collect();
+        let begin = |scope: &Scope| self.ledger.begin_disturbance(*scope, &name, planned);
+        let disturbances: Vec<usize> = scopes.iter().map(begin).collect();
         match step.fault {
-            Fault::Link(link, harm) => self.harm_way(link, harm, step.lasts).await,
-            Fault::Process(place, signal) => self.signal(place, signal, step.lasts).await?,
-            Fault::Store(Store::Return(how)) => self.go_back(how, step.lasts).await,
+            Fault::Link(link, impairment) => self.impair_link(link, impairment, step.lasts).await,
+            Fault::Process(box_index, signal) => self.signal(box_index, signal, step.lasts).await?,
+            Fault::Store(Store::Return(how)) => self.restore_store(how, step.lasts).await,
             Fault::Store(store) => self.fault_store(store, step.lasts).await,
             Fault::Server(at, fault) => self.fault_server(at, fault, step.lasts).await?,
             Fault::Servers(fault) => self.fault_servers(fault, step.lasts).await,
-            Fault::Crashing(number) => self.insist(number, step.lasts).await?,
+            Fault::Crashing(number) => self.send_crashing_request(number, step.lasts).await?,
             Fault::Config(Config::EmptyHall(hall)) => self.empty_hall(hall, step.lasts).await,
             Fault::Config(config) => self.configure(config).await?,
         }
-        notes.into_iter().for_each(|note| self.ledger.end(note));
+        disturbances
+            .into_iter()
+            .for_each(|disturbance| self.ledger.end_disturbance(disturbance));
         Ok(())
     }
 
-    /// Whom a fault touches, and whether it is planned work.
-    fn touched(&self, fault: &Fault) -> (Vec<Place>, bool) {
+    /// What a fault affects, and whether it is planned work.
+    fn scopes_of(&self, fault: &Fault) -> (Vec<Scope>, bool) {
         match *fault {
-            Fault::Link(Link::Client(place) | Link::Store(place), _) => {
-                (vec![Place::Box(place)], false)
+            Fault::Link(Link::Client(box_index) | Link::Store(box_index), _) => {
+                (vec![Scope::Box(box_index)], false)
             }
-            Fault::Link(Link::Peer(from, to), _) => (vec![Place::Box(from), Place::Box(to)], false),
-            Fault::Link(Link::Server(_), _) => (vec![Place::Server], false),
-            Fault::Process(place, signal) => {
+            Fault::Link(Link::Peer(from, to), _) => (vec![Scope::Box(from), Scope::Box(to)], false),
+            Fault::Link(Link::Server(_), _) => (vec![Scope::Server], false),
+            Fault::Process(box_index, signal) => {
                 let planned = matches!(signal, fault::Signal::Terminate | fault::Signal::Reload);
-                (vec![Place::Box(place)], planned)
+                (vec![Scope::Box(box_index)], planned)
             }
-            Fault::Store(_) => (vec![Place::Store], false),
+            Fault::Store(_) => (vec![Scope::Store], false),
             Fault::Server(_, Server::Join | Server::Leave | Server::Say) | Fault::Config(_) => {
-                (vec![Place::Fleet], true)
+                (vec![Scope::Fleet], true)
             }
             Fault::Server(..) | Fault::Servers(_) | Fault::Crashing(_) => {
-                (vec![Place::Server], false)
+                (vec![Scope::Server], false)
             }
         }
     }
 
-    async fn harm_way(&self, link: Link, harm: Harm, lasts: Duration) {
+    async fn impair_link(&self, link: Link, impairment: Impairment, lasts: Duration) {
         let server: Arc<Backend>;
-        let way: &Way = match link {
-            Link::Client(place) => &self.machines[place].front,
-            Link::Store(place) => &self.machines[place].store,
-            Link::Peer(from, to) => &self.peers[from][to],
+        let proxy: &Proxy = match link {
+            Link::Client(box_index) => &self.boxes[box_index].client_proxy,
+            Link::Store(box_index) => &self.boxes[box_index].store_proxy,
+            Link::Peer(from, to) => &self.peer_proxies[from][to],
             Link::Server(at) => {
-                server = self.serving(at);
-                &server.way
+                server = self.pick_server(at);
+                &server.proxy
             }
         };
-        way.harm(harm);
+        proxy.impair(impairment);
         Timer::after(lasts).await;
-        way.mend(harm);
+        proxy.clear(impairment);
     }
 
     async fn signal(
         &self,
-        place: usize,
+        box_index: usize,
         signal: fault::Signal,
         lasts: Duration,
     ) -> eyre::Result<()> {
-        let machine = &self.machines[place];
+        let relay_box = &self.boxes[box_index];
         match signal {
             fault::Signal::Freeze => {
-                machine.signal(Signal::STOP)?;
+                relay_box.signal(Signal::STOP)?;
                 Timer::after(lasts).await;
-                if !machine.is_suspended() {
-                    machine.signal(Signal::CONT)?;
+                if !relay_box.is_suspended() {
+                    relay_box.signal(Signal::CONT)?;
                 }
             }
             fault::Signal::Suspend => {
-                machine.suspend()?;
+                relay_box.suspend()?;
                 Timer::after(lasts).await;
-                machine.resume()?;
+                relay_box.resume()?;
             }
             fault::Signal::Reload => {
                 let extra = 20 + lasts.as_millis() as u64 % 5;
-                machine.change(|settings| settings["bounds"]["retry_extra"] = extra.into())?;
-                machine.signal(Signal::HUP)?;
+                relay_box
+                    .change_settings(|settings| settings["bounds"]["retry_extra"] = extra.into())?;
+                relay_box.signal(Signal::HUP)?;
                 Timer::after(RELOAD_TIME).await;
             }
             fault::Signal::Terminate | fault::Signal::Kill => {
@@ -133,49 +136,50 @@
                     fault::Signal::Terminate => Signal::TERM,
                     _ => Signal::KILL,
                 };
-                self.restart(place, ending, lasts).await?;
+                self.restart(box_index, ending, lasts).await?;
             }
         }
         Ok(())
     }
 
-    /// Ends a process by a signal, and starts it again after a pause.
-    async fn restart(&self, place: usize, ending: Signal, pause: Duration) -> eyre::Result<()> {
-        let machine = &self.machines[place];
-        // A process that ended by itself just before counts as a death, not as
-        // an effect of this signal.
+    /// Ends the process of a box by a signal, and starts it again after a pause.
+    async fn restart(&self, box_index: usize, ending: Signal, pause: Duration) -> eyre::Result<()> {
+        let relay_box = &self.boxes[box_index];
+        // A process that ended by itself just before is recorded as such, not as an effect
+        // of this signal.
         self.restart_ended()?;
-        // A second signal while the process ends is sent as well; the first
-        // one's task starts the process again.
-        if !machine.claim() {
-            return machine.signal_again(ending).map_err(Into::into);
+        // A second signal is sent too while the process is ending; the task of the first
+        // one starts the process again.
+        if !relay_box.claim_restart() {
+            return relay_box.signal_again(ending).map_err(Into::into);
         }
-        machine.signal(ending)?;
-        self.ended(place).await?;
+        relay_box.signal(ending)?;
+        self.wait_for_exit(box_index).await?;
         Timer::after(pause).await;
-        self.start_box(place)
+        self.start_box(box_index)
     }
 
-    /// Waits until a process has ended; kills it once its time is over.
-    async fn ended(&self, place: usize) -> eyre::Result<()> {
-        let machine = &self.machines[place];
-        let until = std::time::Instant::now() + bound::STOP;
+    /// Waits until the process of a box has exited; kills it after the time-out.
+    async fn wait_for_exit(&self, box_index: usize) -> eyre::Result<()> {
+        let relay_box = &self.boxes[box_index];
+        let until = std::time::Instant::now() + bound::STOP_TIMEOUT;
         let mut killed = false;
         let mut ran = Duration::ZERO;
-        while !machine.is_gone()? {
+        while !relay_box.has_exited()? {
             if !killed && std::time::Instant::now() > until {
                 killed = true;
-                // One that stood still for most of the time had none to stop in.
-                if ran > STOPS_IN {
+                // A process that was suspended for most of that time had no time to stop,
+                // so it is not held responsible.
+                if ran > STOP_TIME_MIN {
                     self.ledger
-                        .fact(Fact::Died(place, "only by SIGKILL".into()));
+                        .record_fact(Fact::Died(box_index, "only by SIGKILL".into()));
                 }
-                machine.signal(Signal::KILL)?;
+                relay_box.signal(Signal::KILL)?;
             }
-            let look = std::time::Instant::now();
-            Timer::after(LOOK).await;
-            if !machine.is_suspended() {
-                ran += look.elapsed();
+            let poll = std::time::Instant::now();
+            Timer::after(POLL_INTERVAL).await;
+            if !relay_box.is_suspended() {
+                ran += poll.elapsed();
             }
         }
         Ok(())
@@ -190,12 +194,13 @@
             Store::Losing => faulty.faults(|faults| faults.lost = LOST_CALLS),
             Store::Forgetful => faulty.compact(),
             Store::Deaf => faulty.deaf(lasts),
-            // It has a time of its own: see `go_back`.
+            // Handled by `restore_store`, which has timing of its own.
             Store::Return(_) => {}
         }
         Timer::after(lasts).await;
-        // Of two faults of one kind that overlap, the first to end ends both;
-        // the ledger has the longer one.
+        // If two faults of one kind overlap, the end of the first one ends both, while the
+        // ledger records both to their full length. Rules then excuse more than was
+        // disturbed, never less.
         faulty.faults(|faults| match store {
             Store::Slow(_) => faults.slow = Duration::ZERO,
             Store::Down(_) => faults.down = None,
@@ -206,7 +211,7 @@
     }
 
     async fn fault_server(&self, at: usize, fault: Server, lasts: Duration) -> io::Result<()> {
-        let backend = self.serving(at);
+        let backend = self.pick_server(at);
         let server = &backend.server;
         let service = server.settings().service.clone();
         match fault {
@@ -215,8 +220,8 @@
                 self.add_server(&service)?;
                 self.announce(&backend, State::Draining);
                 let id = server.settings().id.clone();
-                self.ledger.fact(Fact::Leaving(id));
-                Timer::after(LEAVE_TIME).await;
+                self.ledger.record_fact(Fact::Leaving(id));
+                Timer::after(LEAVING_TIME).await;
                 self.withdraw(server);
                 return Ok(());
             }
@@ -224,8 +229,8 @@
                 self.add_server(&service)?;
                 server.leave(true);
                 let id = server.settings().id.clone();
-                self.ledger.fact(Fact::Saying(id));
-                Timer::after(LEAVE_TIME + lasts).await;
+                self.ledger.record_fact(Fact::Saying(id));
+                Timer::after(LEAVING_TIME + lasts).await;
                 self.withdraw(server);
                 return Ok(());
             }
@@ -240,7 +245,7 @@
                 return self.add_server(&service);
             }
             Server::Dark => server.dark(true),
-            Server::Slow => server.slow(SLOWNESS),
+            Server::Slow => server.slow(SLOWDOWN_FACTOR),
             Server::Faulty(fault) => server.fault(fault, u32::MAX),
         }
         Timer::after(lasts).await;
@@ -248,7 +253,7 @@
         Ok(())
     }
 
-    /// Makes all requests go wrong at all servers that there are now.
+    /// Makes all requests fail at all servers that exist now.
     async fn fault_servers(&self, fault: server::Fault, lasts: Duration) {
         let all = self.backends();
         for backend in &all {
@@ -260,47 +265,46 @@
         }
     }
 
-    /// Has a hall of servers emptied for longer than that may take, and takes it
-    /// back.
+    /// Empties a hall of servers for longer than the bound on emptying, then cancels it.
     async fn empty_hall(&self, hall: usize, lasts: Duration) {
-        let hall = plan::hall(hall, plan::SERVER_HALLS);
-        self.writable().await;
+        let hall = plan::hall_name(hall, plan::SERVER_HALLS);
+        self.wait_until_writable().await;
         lock(&self.emptied).insert(hall.clone());
         self.site.empty_hall(&hall);
-        self.ledger.fact(Fact::Emptied(hall.clone()));
-        Timer::after(bound::EMPTY + lasts).await;
-        self.writable().await;
-        self.ledger.fact(Fact::TakenBack(hall.clone()));
+        self.ledger.record_fact(Fact::Emptied(hall.clone()));
+        Timer::after(bound::EMPTYING_TIMEOUT + lasts).await;
+        self.wait_until_writable().await;
+        self.ledger.record_fact(Fact::TakenBack(hall.clone()));
         lock(&self.emptied).remove(&hall);
         self.site.take_back(&hall);
     }
 
     async fn configure(&self, config: Config) -> eyre::Result<()> {
-        self.writable().await;
+        self.wait_until_writable().await;
         match config {
             Config::Revoke => self.change_keys(1),
-            // It has a time of its own: see `empty_hall`.
+            // Handled by `empty_hall`, which has timing of its own.
             Config::EmptyHall(_) => {}
-            Config::Mark => self.mark()?,
+            Config::Mark => self.add_mark()?,
             Config::Storm => {
-                for _ in 0..STORM {
-                    self.writable().await;
-                    self.mark()?;
-                    Timer::after(STORM_PAUSE).await;
+                for _ in 0..STORM_CHANGES {
+                    self.wait_until_writable().await;
+                    self.add_mark()?;
+                    Timer::after(STORM_INTERVAL).await;
                 }
             }
         }
         Ok(())
     }
 
-    /// A server that neither leaves nor is gone, by its number.
-    fn serving(&self, at: usize) -> Arc<Backend> {
+    /// Picks a server by its number among those that are neither leaving nor crashed.
+    fn pick_server(&self, at: usize) -> Arc<Backend> {
         let backends = self.backends();
-        let serving = backends.iter().filter(|backend| {
+        let running = backends.iter().filter(|backend| {
             let id = &backend.server.settings().id;
             !backend.server.is_crashed() && !self.ledger.is_leaving(id)
         });
-        let serving: Vec<_> = serving.cloned().collect();
-        serving[at % serving.len()].clone()
+        let running: Vec<_> = running.cloned().collect();
+        running[at % running.len()].clone()
     }
 }
--- a/crates/soak/src/ledger.rs
+++ b/crates/soak/src/ledger.rs
@@ -1,6 +1,7 @@
-//! What was done and seen in a run, in the order of its happening.
+//! Records what was done and observed in a run, in order of time.
 //!
-//! Nothing here is a judgement. Rules read an `Evidence`, which is made of a copy of it.
+//! The ledger judges nothing. Rules read an `Evidence`, which is made from a snapshot of
+//! it.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -10,23 +11,24 @@
 
 use crate::sync::lock;
 
-/// Body of requests that ask what no other asks.
+/// Body of requests that do not share their content with others.
 pub const BODY: &[u8] = b"question";
 
 /// A kind of request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Traffic {
-    /// May be repeated.
+    /// May be executed more than once.
     Repeatable,
-    /// Runs at most once.
+    /// May be executed at most once.
     Once,
     /// A stream that may be resumed.
     Resumable,
-    /// A stream that may not.
+    /// A stream that may not be resumed.
     Single,
-    /// Needs a key; may be repeated.
+    /// Needs a key; may be executed more than once.
     Keyed,
-    /// Goes to the service of the newest configuration; may be repeated.
+    /// Is routed to the service of the newest configuration; may be executed more than
+    /// once.
     Mark,
 }
 
@@ -41,7 +43,7 @@
         Traffic::Mark,
     ];
 
-    /// The beginning of its paths.
+    /// Prefix of the paths of this kind.
     pub fn prefix(self) -> &'static str {
         match self {
             Traffic::Repeatable => "/r/",
@@ -53,77 +55,80 @@
         }
     }
 
-    /// The path of a request that asks something.
-    pub fn target(self, asks: &str) -> String {
-        format!("{}{asks}", self.prefix())
+    /// The path of a request with this content.
+    pub fn target(self, content: &str) -> String {
+        format!("{}{content}", self.prefix())
     }
 
-    /// Whether it may run at most once.
+    /// Whether a request of this kind may be executed at most once.
     pub fn runs_once(self) -> bool {
         matches!(self, Traffic::Once | Traffic::Single)
     }
 }
 
-/// One request of a client.
+/// A request that a client sent to a box.
 #[derive(Debug, Clone)]
-pub struct Attempt {
+pub struct Request {
     /// Its id.
     pub id: String,
     /// Its kind.
     pub traffic: Traffic,
-    /// What it asks, where other attempts ask the same; else each asks its own.
-    pub asks: Option<String>,
-    /// The box it went to.
-    pub place: usize,
-    /// Its key.
+    /// Content that the request shares with others; `None` if its content is its own.
+    pub content: Option<String>,
+    /// The box that it was sent to.
+    pub box_index: usize,
+    /// The key that it was sent with.
     pub key: Option<String>,
     /// When it was sent.
     pub sent: Instant,
-    /// When its answer was over.
+    /// When its answer ended.
     pub ended: Option<Instant>,
-    /// What came back, if its connection came up.
+    /// The answer, if the connection was established.
     pub answer: Option<Answer>,
 }
 
-impl Attempt {
-    /// Its path.
+impl Request {
+    /// The path of the request.
     pub fn target(&self) -> String {
-        self.traffic.target(self.asks.as_ref().unwrap_or(&self.id))
+        self.traffic
+            .target(self.content.as_ref().unwrap_or(&self.id))
     }
 
-    /// Its body.
+    /// The body of the request.
     pub fn body(&self) -> &[u8] {
-        self.asks.as_ref().map_or(BODY, |asks| asks.as_bytes())
+        self.content
+            .as_ref()
+            .map_or(BODY, |content| content.as_bytes())
     }
 
-    /// Whether it was answered whole with a success.
+    /// Whether the client received a complete, successful answer.
     pub fn served(&self) -> bool {
         let answer = self.answer.as_ref();
         answer.is_some_and(|answer| answer.status == 200 && answer.complete)
     }
 }
 
-/// Whom a disturbance touches.
+/// What a disturbance affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Place {
+pub enum Scope {
     /// A box, its process or its links.
     Box(usize),
     /// The store as a whole.
     Store,
-    /// A server or the ways to it.
+    /// A server or the links to it.
     Server,
-    /// All, by what the operator or a server says.
+    /// All boxes, through what the operator or a server announces.
     Fleet,
 }
 
 /// Something that was done to the fleet.
 #[derive(Debug, Clone)]
 pub struct Disturbance {
-    /// Whom it touches.
-    pub place: Place,
-    /// Its name.
+    /// What it affects.
+    pub scope: Scope,
+    /// The name of the fault.
     pub name: String,
-    /// Whether it is planned work, which may cost no request.
+    /// Whether it is planned work, which may not lose any request.
     pub planned: bool,
     /// When it began.
     pub from: Instant,
@@ -131,49 +136,51 @@
     pub to: Option<Instant>,
 }
 
-/// Something that was acknowledged or happened at a moment.
+/// Something that was acknowledged or happened at one moment.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fact {
-    /// No configuration holds this key any more.
+    /// The configuration without this key was acknowledged.
     KeyGone(String),
-    /// The mark route leads to the service of this number.
+    /// The route of [`Traffic::Mark`] leads to the service of this number.
     Marked(u32),
     /// A configuration is about to be written.
     Configuring,
-    /// The server of this id leaves or is gone.
+    /// The entry of the server of this id announces that it leaves, or was removed.
     Leaving(String),
-    /// The server of this id says that it leaves, by its answers alone.
+    /// The server of this id announces that it leaves, but only in its answers.
     Saying(String),
-    /// Nothing more is to be sent to the servers of this hall.
+    /// The operator emptied this hall.
     Emptied(String),
-    /// The servers of this hall may be used again.
+    /// The operator cancelled the emptying of this hall.
     TakenBack(String),
-    /// A process of this box was started.
+    /// The process of this box was started.
     Born(usize),
-    /// A process ended without being told to.
+    /// The process of this box ended without a signal from the soak, or did not stop as it
+    /// should.
     Died(usize, String),
-    /// A box was held up by a lack of processor time, for so long.
+    /// A box, or with `None` the soak itself, lacked processor time for this long.
     HeldUp(Option<usize>, Duration),
-    /// A box sent an answer with this status where no request waited.
+    /// A box sent an answer with this status on a connection where no request was in
+    /// flight.
     Surplus(usize, u16),
-    /// After the faults, this box had not served again in time.
+    /// This box did not serve requests again in time after the last fault.
     StillDown(usize),
-    /// After the faults, a process held more than it may.
+    /// The process of this box held more resources after the faults than allowed.
     Grown(usize, String),
 }
 
-/// Requests at the servers of a service at one moment.
+/// Requests in flight at the servers of a service at one moment.
 #[derive(Debug, Clone)]
 pub struct Loads {
     /// When.
     pub at: Instant,
     /// The service.
     pub service: String,
-    /// Each server's id and requests.
-    pub held: Vec<(String, u32)>,
+    /// The id of each server and its requests in flight.
+    pub in_flight: Vec<(String, u32)>,
 }
 
-/// Collects what is done and seen.
+/// Collects what is done and observed.
 #[derive(Debug, Default)]
 pub struct Ledger {
     inner: Mutex<Inner>,
@@ -181,7 +188,7 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    attempts: Vec<Attempt>,
+    requests: Vec<Request>,
     disturbances: Vec<Disturbance>,
     facts: Vec<(Instant, Fact)>,
     loads: Vec<Loads>,
@@ -194,35 +201,35 @@
         *lock(&self.inner).faults.entry(name.into()).or_insert(0) += 1;
     }
 
-    /// Faults so far, by name.
+    /// Number of faults so far, by name.
     pub fn faults(&self) -> BTreeMap<String, u64> {
         lock(&self.inner).faults.clone()
     }
 
-    /// Notes a request that is about to be sent; returns its number.
-    pub fn sent(&self, attempt: Attempt) -> usize {
+    /// Records a request that is about to be sent; returns its number.
+    pub fn record_sent(&self, request: Request) -> usize {
         let mut inner = lock(&self.inner);
-        inner.attempts.push(attempt);
-        inner.attempts.len() - 1
+        inner.requests.push(request);
+        inner.requests.len() - 1
     }
 
-    /// Notes the end of a request.
-    pub fn ended(&self, number: usize, answer: Option<Answer>) {
-        self.ended_at(Instant::now(), number, answer);
+    /// Records the end of a request.
+    pub fn record_ended(&self, number: usize, answer: Option<Answer>) {
+        self.record_ended_at(Instant::now(), number, answer);
     }
 
-    /// Notes the end of a request at a moment.
-    pub fn ended_at(&self, at: Instant, number: usize, answer: Option<Answer>) {
-        let attempt = &mut lock(&self.inner).attempts[number];
-        attempt.ended = Some(at);
-        attempt.answer = answer;
+    /// Records the end of a request at a moment.
+    pub fn record_ended_at(&self, at: Instant, number: usize, answer: Option<Answer>) {
+        let request = &mut lock(&self.inner).requests[number];
+        request.ended = Some(at);
+        request.answer = answer;
     }
 
-    /// Notes the beginning of a disturbance; returns its number.
-    pub fn begin(&self, place: Place, name: &str, planned: bool) -> usize {
+    /// Records the beginning of a disturbance; returns its number.
+    pub fn begin_disturbance(&self, scope: Scope, name: &str, planned: bool) -> usize {
         let mut inner = lock(&self.inner);
         inner.disturbances.push(Disturbance {
-            place,
+            scope,
             name: name.into(),
             planned,
             from: Instant::now(),
@@ -231,22 +238,22 @@
         inner.disturbances.len() - 1
     }
 
-    /// Notes the end of a disturbance.
-    pub fn end(&self, number: usize) {
+    /// Records the end of a disturbance.
+    pub fn end_disturbance(&self, number: usize) {
         lock(&self.inner).disturbances[number].to = Some(Instant::now());
     }
 
-    /// Notes something that has just happened.
-    pub fn fact(&self, fact: Fact) {
-        self.fact_at(Instant::now(), fact);
+    /// Records something that has just happened.
+    pub fn record_fact(&self, fact: Fact) {
+        self.record_fact_at(Instant::now(), fact);
     }
 
-    /// Notes something that happened at a moment.
-    pub fn fact_at(&self, at: Instant, fact: Fact) {
+    /// Records something that happened at a moment.
+    pub fn record_fact_at(&self, at: Instant, fact: Fact) {
         lock(&self.inner).facts.push((at, fact));
     }
 
-    /// Whether a server is noted as leaving.
+    /// Whether a server announced in its entry or its answers that it leaves.
     pub fn is_leaving(&self, id: &str) -> bool {
         let inner = lock(&self.inner);
         let mut facts = inner.facts.iter();
@@ -254,56 +261,57 @@
             .any(|(_, fact)| matches!(fact, Fact::Leaving(left) | Fact::Saying(left) if left == id))
     }
 
-    /// Whether a server's entry says that it leaves.
+    /// Whether the entry of a server announces that it leaves.
     pub fn is_announced_leaving(&self, id: &str) -> bool {
         let inner = lock(&self.inner);
         let mut facts = inner.facts.iter();
         facts.any(|(_, fact)| matches!(fact, Fact::Leaving(left) if left == id))
     }
 
-    /// Notes the load of a service.
-    pub fn loads(&self, loads: Loads) {
+    /// Records the load of a service.
+    pub fn record_loads(&self, loads: Loads) {
         lock(&self.inner).loads.push(loads);
     }
 
-    /// Requests sent so far.
+    /// Number of requests sent so far.
     pub fn count(&self) -> usize {
-        lock(&self.inner).attempts.len()
+        lock(&self.inner).requests.len()
     }
 
-    /// Ends of the requests sent to a box since a moment, the last ones first.
-    pub fn recent(&self, place: usize, since: Instant) -> Vec<bool> {
+    /// Results of the requests that were sent to a box since a moment and have ended, the
+    /// newest first; `true` for success.
+    pub fn recent_results(&self, box_index: usize, since: Instant) -> Vec<bool> {
         let inner = lock(&self.inner);
-        let ended = inner.attempts.iter().rev().filter(|attempt| {
-            attempt.place == place && attempt.sent >= since && attempt.ended.is_some()
+        let ended = inner.requests.iter().rev().filter(|request| {
+            request.box_index == box_index && request.sent >= since && request.ended.is_some()
         });
-        ended.map(Attempt::served).collect()
+        ended.map(Request::served).collect()
     }
 
-    /// A copy of all of it.
-    pub fn copy(&self) -> Copy {
+    /// Takes a copy of the whole ledger.
+    pub fn snapshot(&self) -> Snapshot {
         let inner = lock(&self.inner);
-        Copy {
-            attempts: inner.attempts.clone(),
+        Snapshot {
+            requests: inner.requests.clone(),
             disturbances: inner.disturbances.clone(),
             facts: inner.facts.clone(),
             loads: inner.loads.clone(),
-            read: Instant::now(),
+            taken: Instant::now(),
         }
     }
 }
 
-/// What a ledger held at one moment.
+/// The contents of a ledger at one moment.
 #[derive(Debug)]
-pub struct Copy {
-    /// All requests, in the order of their sending.
-    pub attempts: Vec<Attempt>,
-    /// All disturbances, in the order of their beginning.
+pub struct Snapshot {
+    /// All requests, in the order in which they were sent.
+    pub requests: Vec<Request>,
+    /// All disturbances, in the order in which they began.
     pub disturbances: Vec<Disturbance>,
     /// All facts.
     pub facts: Vec<(Instant, Fact)>,
     /// The servers' loads over time.
     pub loads: Vec<Loads>,
-    /// The moment.
-    pub read: Instant,
+    /// When the snapshot was taken.
+    pub taken: Instant,
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,20 +1,20 @@
-//! A randomized soak of the relay: real processes on loopback, faults from
-//! outside them, and rules that are judged by what clients and servers see.
+//! A randomized fault soak of the relay. It runs real relay processes on loopback, injects
+//! faults from outside them, and checks rules against what clients and servers observe.
 //!
-//! A seed decides the whole [`schedule`] of [`fault`]s; [`fleet`] starts the processes and
-//! stand-ins and carries the schedule out; [`load`] plays the clients; all of
-//! them write to the [`ledger`]; the [`rule`]s read a copy of it, the
-//! [`evidence`], and nothing else.
-//! [`run`] puts one seed together.
+//! A seed determines the whole [`schedule`] of [`fault`]s. [`fleet`] starts the processes
+//! and stand-ins and carries out the schedule; [`load`] sends the requests of the clients;
+//! both record what they do and observe in the [`ledger`]. The [`rule`]s read a copy of it,
+//! the [`evidence`], and nothing else. [`run`] executes one seed from start to verdict.
 //!
 //! Invariants:
 //!
-//! * Whoever does something does not judge it: no rule knows the schedule, and
-//!   no generator reads a verdict.
+//! * Generating and judging are separate: no rule knows the schedule, and no generator of
+//!   faults or load reads a verdict.
 //! * Only processes that the soak started are signalled.
-//! * A check that is left out because the machine was busy is counted.
+//! * A check that is left out because the host lacked processor time is counted.
 
 pub mod bound;
+pub mod delay_monitor;
 pub mod evidence;
 pub mod fault;
 pub mod fleet;
@@ -22,9 +22,8 @@
 pub mod load;
 pub mod plan;
 pub mod process;
-pub mod pulse;
+pub mod proxy;
 pub mod rule;
 pub mod run;
 pub mod schedule;
 mod sync;
-pub mod way;
--- a/crates/soak/src/load.rs
+++ b/crates/soak/src/load.rs
@@ -1,7 +1,7 @@
-//! Clients of the soak: each keeps a connection, sends one request after the
-//! other over it, and goes on until it is told to end.
+//! Clients of the soak: each sends one request after the other over a kept connection,
+//! until it is told to stop.
 //!
-//! Besides, some connections rest at each box until the box closes them.
+//! In addition, some idle connections are held at each box until the box closes them.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
@@ -16,97 +16,98 @@
 use tidepier_relay_standin::Client;
 
 use crate::fleet::Fleet;
-use crate::ledger::{self, Attempt, Fact, Traffic};
+use crate::ledger::{self, Fact, Request, Traffic};
 use crate::plan;
 
-/// Clients at each box, ...
-const CLIENTS: usize = 6;
-/// ... and of all boxes together at the most, but for one at each.
+/// Bound on the clients of each box.
+const CLIENTS_PER_BOX: usize = 6;
+/// Bound on the clients of all boxes together, but each box has at least one.
 const CLIENTS_MAX: usize = 48;
-/// Connections that rest at each box.
-const RESTING: usize = 3;
+/// Idle connections at each box.
+const IDLE_CONNECTIONS: usize = 3;
 /// Pause between two requests of a client, in ms.
-const THINK_MS: std::ops::Range<u64> = 30..140;
-/// Pause after a connection that did not come up.
-const PAUSE: Duration = Duration::from_millis(150);
-/// Time to read what came on a connection where no request waits.
-const SURPLUS_TIME: Duration = Duration::from_millis(100);
-/// Of how many requests one goes over a new connection.
-const FRESH: f64 = 0.1;
+const THINK_TIME_MS: std::ops::Range<u64> = 30..140;
+/// Pause after a connection attempt that failed.
+const CONNECT_RETRY_PAUSE: Duration = Duration::from_millis(150);
+/// Time-out for reading surplus bytes on a connection without a request in flight.
+const SURPLUS_TIMEOUT: Duration = Duration::from_millis(100);
+/// Share of the requests that are sent over a new connection.
+const NEW_CONNECTION_SHARE: f64 = 0.1;
+
 /// Running clients.
 pub struct Load {
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
     clients: Vec<Task<()>>,
-    _resting: Vec<Task<()>>,
+    _idle_connections: Vec<Task<()>>,
 }
 
 impl Load {
     /// Starts clients at all boxes.
     pub fn start(fleet: &Arc<Fleet>, seed: u64) -> Self {
-        let over = Arc::new(AtomicBool::new(false));
-        let numbers = Arc::new(AtomicU64::new(0));
-        let (mut clients, mut resting) = (Vec::new(), Vec::new());
-        let each = (CLIENTS_MAX / fleet.boxes()).clamp(1, CLIENTS);
-        for place in 0..fleet.boxes() {
-            for client in 0..each {
-                let stream = (place * each + client) as u64;
+        let stopped = Arc::new(AtomicBool::new(false));
+        let next_number = Arc::new(AtomicU64::new(0));
+        let (mut clients, mut idle_connections) = (Vec::new(), Vec::new());
+        let per_box = (CLIENTS_MAX / fleet.box_count()).clamp(1, CLIENTS_PER_BOX);
+        for box_index in 0..fleet.box_count() {
+            for client in 0..per_box {
+                let stream = (box_index * per_box + client) as u64;
                 let mut rng = ChaCha8Rng::seed_from_u64(seed);
                 rng.set_stream(stream + 1);
-                let one = Sender {
+                let client_task = ClientTask {
                     fleet: fleet.clone(),
-                    place,
-                    numbers: numbers.clone(),
-                    over: over.clone(),
+                    box_index,
+                    next_number: next_number.clone(),
+                    stopped: stopped.clone(),
                     rng,
                     client: None,
                 };
-                clients.push(smol::spawn(one.run()));
+                clients.push(smol::spawn(client_task.run()));
             }
-            for _ in 0..RESTING {
-                resting.push(smol::spawn(rest(fleet.clone(), place)));
+            for _ in 0..IDLE_CONNECTIONS {
+                idle_connections.push(smol::spawn(hold_idle_connection(fleet.clone(), box_index)));
             }
         }
         Self {
-            over,
+            stopped,
             clients,
-            _resting: resting,
+            _idle_connections: idle_connections,
         }
     }
 
-    /// Ends the clients, each after its request.
+    /// Stops the clients, each after its current request.
     pub async fn finish(self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
         for client in self.clients {
             client.await;
         }
     }
 }
 
-/// Keeps a connection open for as long as the box does.
-async fn rest(fleet: Arc<Fleet>, place: usize) {
+/// Holds an idle connection until the box closes it, then opens another one.
+async fn hold_idle_connection(fleet: Arc<Fleet>, box_index: usize) {
     loop {
-        if let Ok(mut client) = Client::open(fleet.front(place)).await {
+        if let Ok(mut client) = Client::open(fleet.client_address(box_index)).await {
             while client.rests() {
-                Timer::after(PAUSE).await;
+                Timer::after(CONNECT_RETRY_PAUSE).await;
             }
         }
-        Timer::after(PAUSE).await;
+        Timer::after(CONNECT_RETRY_PAUSE).await;
     }
 }
 
-struct Sender {
+struct ClientTask {
     fleet: Arc<Fleet>,
-    place: usize,
-    numbers: Arc<AtomicU64>,
-    over: Arc<AtomicBool>,
+    box_index: usize,
+    next_number: Arc<AtomicU64>,
+    stopped: Arc<AtomicBool>,
     rng: ChaCha8Rng,
     client: Option<Client>,
 }
 
-impl Sender {
+impl ClientTask {
     async fn run(mut self) {
-        while !self.over.load(Ordering::Relaxed) {
-            let think = Duration::from_millis(self.rng.random_range(THINK_MS));
+        while !self.stopped.load(Ordering::Relaxed) {
+            let think = Duration::from_millis(self.rng.random_range(THINK_TIME_MS));
             Timer::after(think).await;
             self.send_one().await;
         }
@@ -116,58 +117,60 @@
         let traffic = *Traffic::ALL
             .choose(&mut self.rng)
             .unwrap_or(&Traffic::Repeatable);
-        let key = (traffic == Traffic::Keyed).then(|| self.fleet.some_key(&mut self.rng));
-        let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-        let id = format!("{}-{number}", self.place);
+        let key = (traffic == Traffic::Keyed).then(|| self.fleet.pick_key(&mut self.rng));
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
+        let id = format!("{}-{number}", self.box_index);
         let mut call = Call::new("POST", HOST, &traffic.target(&id), &id);
-        call = call.body(ledger::BODY).leaving(plan::LEAVE);
+        call = call.body(ledger::BODY).leaving(plan::CLIENT_TIMEOUT);
         if let Some(key) = &key {
             call = call.key(key);
         }
-        if self.rng.random_bool(FRESH) {
+        if self.rng.random_bool(NEW_CONNECTION_SHARE) {
             self.client = None;
         }
         let Some(mut client) = self.connected().await else {
-            Timer::after(PAUSE).await;
+            Timer::after(CONNECT_RETRY_PAUSE).await;
             return;
         };
-        let attempt = Attempt {
+        let request = Request {
             id,
             traffic,
-            asks: None,
-            place: self.place,
+            content: None,
+            box_index: self.box_index,
             key,
             sent: Instant::now(),
             ended: None,
             answer: None,
         };
-        let number = self.fleet.ledger.sent(attempt);
+        let number = self.fleet.ledger.record_sent(request);
         let answer = client.call(&call).await;
-        if keeps(&answer) {
+        if is_reusable(&answer) {
             self.client = Some(client);
         }
-        self.fleet.ledger.ended(number, Some(answer));
+        self.fleet.ledger.record_ended(number, Some(answer));
     }
 
-    /// The kept connection, if it is still open, or a new one.
+    /// Returns the kept connection if it is still open, otherwise a new one.
     async fn connected(&mut self) -> Option<Client> {
         if let Some(mut client) = self.client.take() {
             if client.rests() {
                 return Some(client);
             }
-            // It was closed, or something came that nobody waits for.
-            let surplus = client.answer("POST", SURPLUS_TIME).await;
+            // The box closed it, or sent bytes without a request in flight.
+            let surplus = client.answer("POST", SURPLUS_TIMEOUT).await;
             if surplus.status != 0 {
-                let fact = Fact::Surplus(self.place, surplus.status);
-                self.fleet.ledger.fact(fact);
+                let fact = Fact::Surplus(self.box_index, surplus.status);
+                self.fleet.ledger.record_fact(fact);
             }
         }
-        Client::open(self.fleet.front(self.place)).await.ok()
+        Client::open(self.fleet.client_address(self.box_index))
+            .await
+            .ok()
     }
 }
 
-/// Whether the connection of an answer can take another request.
-fn keeps(answer: &Answer) -> bool {
+/// Whether the connection can be used for another request after this answer.
+fn is_reusable(answer: &Answer) -> bool {
     let close = answer.field("Connection");
-    answer.complete && close.is_none_or(|told| !told.eq_ignore_ascii_case("close"))
+    answer.complete && close.is_none_or(|value| !value.eq_ignore_ascii_case("close"))
 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! What is the same in every run: addresses, halls and routes.
+//! What all runs have in common: addresses, halls and routes.
 
 use std::net::Ipv4Addr;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -9,40 +9,40 @@
 
 use crate::ledger::Traffic;
 
-/// The service of plain requests.
+/// The service of requests with a plain answer.
 pub const PLAIN: &str = "plain";
-/// The service of streams.
+/// The service of event streams.
 pub const STREAM: &str = "stream";
-/// The beginning of the names of services that tell the version.
-pub const MARK: &str = "mark-";
-/// The account of all keys.
+/// Prefix of the services whose number identifies a version of the configuration.
+pub const MARK_PREFIX: &str = "mark-";
+/// The account that all keys belong to.
 pub const ACCOUNT: &str = "account-1";
-/// When a client gives up: beyond the deadline that it names, so that a late
-/// answer is seen.
-pub const LEAVE: Duration = Duration::from_millis(4_600);
-/// Halls that servers are spread over.
+/// Time after which a client gives up: more than the deadline that its request names, so
+/// that an answer after the deadline is still observed.
+pub const CLIENT_TIMEOUT: Duration = Duration::from_millis(4_600);
+/// Number of halls that servers are spread over.
 pub const SERVER_HALLS: usize = 2;
-/// Most servers for one request, on each route.
-pub const ATTEMPTS: u32 = 2;
-/// Longest time of a request, on each route.
+/// Bound on the servers that one request may be sent to, on each route.
+pub const ATTEMPTS_MAX: u32 = 2;
+/// Time-out of a request, on each route.
 pub const TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Addresses of a box that no other box of this machine has.
+/// Returns an address for a box that no other box on this host uses.
 pub(crate) fn box_ip() -> Ipv4Addr {
-    static TAKEN: AtomicU32 = AtomicU32::new(1);
-    let [_, _, high, low] = TAKEN.fetch_add(1, Ordering::Relaxed).to_be_bytes();
+    static NEXT: AtomicU32 = AtomicU32::new(1);
+    let [_, _, high, low] = NEXT.fetch_add(1, Ordering::Relaxed).to_be_bytes();
     let [.., process_high, process_low] = std::process::id().to_be_bytes();
-    // 127.20 to 127.219, as tests of the relay do on other ports.
+    // 127.20 to 127.219, like the tests of the relay, which use other ports.
     Ipv4Addr::new(127, process_low % 200 + 20, process_high ^ high, low)
 }
 
-/// The hall of a box or server.
-pub(crate) fn hall(place: usize, halls: usize) -> String {
-    format!("hall-{}", place % halls)
+/// The name of the hall of a box or server with this number.
+pub(crate) fn hall_name(number: usize, halls: usize) -> String {
+    format!("hall-{}", number % halls)
 }
 
-/// Declares the route of each kind of request.
-pub(crate) fn declare(site: &Site) {
+/// Declares a route for each kind of request.
+pub(crate) fn declare_routes(site: &Site) {
     let route = |traffic: Traffic| {
         let (kind, service) = match traffic {
             Traffic::Once => (Kind::AtMostOnce, PLAIN),
@@ -52,7 +52,7 @@
         };
         Route {
             public: traffic != Traffic::Keyed,
-            attempts: ATTEMPTS,
+            attempts: ATTEMPTS_MAX,
             timeout: TIMEOUT,
             ..Route::new(traffic.prefix(), kind, service)
         }
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -1,7 +1,7 @@
-//! A relay as a process of its own, and what the kernel says of it.
+//! A relay process, and what the kernel reports of it.
 //!
-//! Only processes that were started here are signalled, by their ids, and each
-//! is ended when its owner drops it.
+//! Only processes that were started here are signalled, by their ids, and each is killed
+//! when its owner drops it.
 
 use std::fs::{self, File};
 use std::io;
@@ -16,11 +16,11 @@
 pub struct Process {
     child: Child,
     pid: Pid,
-    /// When it was started.
-    pub born: Instant,
+    /// When the process was started.
+    pub started: Instant,
 }
 
-/// What a process holds.
+/// Resources that a process holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Level {
     /// Resident memory, in kB.
@@ -32,11 +32,11 @@
 }
 
 impl Process {
-    /// Starts a relay on a settings file; its log is appended to `log`.
+    /// Starts a relay with a settings file; its log is appended to `log`.
     ///
     /// # Errors
     ///
-    /// The program or the log cannot be opened.
+    /// The program cannot be started or the log cannot be opened.
     pub fn start(program: &Path, settings: &Path, log: &Path) -> io::Result<Self> {
         let out = File::options().create(true).append(true).open(log)?;
         let child = Command::new(program)
@@ -50,71 +50,72 @@
         Ok(Self {
             child,
             pid,
-            born: Instant::now(),
+            started: Instant::now(),
         })
     }
 
-    /// Sends it a signal.
+    /// Sends the process a signal.
     ///
     /// # Errors
     ///
-    /// It has ended and was waited for.
+    /// The process has ended and was waited for.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         Ok(kill_process(self.pid, signal)?)
     }
 
-    /// Whether it has ended, and how.
+    /// Returns the exit status if the process has ended.
     ///
     /// # Errors
     ///
-    /// It cannot be waited for.
-    pub fn ended(&mut self) -> io::Result<Option<std::process::ExitStatus>> {
+    /// The process cannot be waited for.
+    pub fn exit_status(&mut self) -> io::Result<Option<std::process::ExitStatus>> {
         self.child.try_wait()
     }
 
-    /// What it holds now.
+    /// Reads the resources that the process holds now.
     ///
     /// # Errors
     ///
     /// It has ended.
     pub fn level(&self) -> io::Result<Level> {
-        let folder = self.folder();
-        let status = fs::read_to_string(format!("{folder}/status"))?;
+        let proc_folder = self.proc_folder();
+        let status = fs::read_to_string(format!("{proc_folder}/status"))?;
         let number = |name: &str| {
             let line = status.lines().find_map(|line| line.strip_prefix(name));
             let number = line.and_then(|line| line.split_whitespace().next()?.parse().ok());
-            number.ok_or_else(|| io::Error::other(format!("no {name} in its status")))
+            number
+                .ok_or_else(|| io::Error::other(format!("no {name} in the status of the process")))
         };
         Ok(Level {
             memory_kb: number("VmRSS:")?,
             threads: number("Threads:")?,
-            descriptors: fs::read_dir(format!("{folder}/fd"))?.count() as u64,
+            descriptors: fs::read_dir(format!("{proc_folder}/fd"))?.count() as u64,
         })
     }
 
-    /// Time that it was ready to run and had no processor.
+    /// Total time that the process was runnable but had no processor.
     ///
     /// # Errors
     ///
     /// It has ended.
-    pub fn waited(&self) -> io::Result<Duration> {
-        let text = fs::read_to_string(format!("{}/schedstat", self.folder()))?;
+    pub fn run_queue_wait(&self) -> io::Result<Duration> {
+        let text = fs::read_to_string(format!("{}/schedstat", self.proc_folder()))?;
         let waited = text
             .split_whitespace()
             .nth(1)
             .and_then(|ns| ns.parse().ok());
-        let waited = waited.ok_or_else(|| io::Error::other("schedstat without a wait"))?;
+        let waited = waited.ok_or_else(|| io::Error::other("no wait time in schedstat"))?;
         Ok(Duration::from_nanos(waited))
     }
 
-    fn folder(&self) -> String {
+    fn proc_folder(&self) -> String {
         format!("/proc/{}", self.child.id())
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended before.
+        // The process may have ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- /dev/null
+++ b/crates/soak/src/proxy.rs
@@ -0,0 +1,229 @@
+//! A loopback proxy between two processes that can impair the link while it runs.
+//!
+//! Bytes that an impairment blocks are forwarded once it ends, as with TCP; only a reset
+//! loses data. Several impairments may be active at once, and each is cleared separately.
+
+use std::io;
+use std::net::{Ipv4Addr, SocketAddr};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use event_listener::Event;
+use futures_lite::{future, AsyncReadExt, AsyncWriteExt, FutureExt};
+use smol::net::{Shutdown, TcpListener, TcpStream};
+use smol::{Task, Timer};
+use socket2::SockRef;
+
+use crate::sync::lock;
+
+/// Size of the buffer that bytes are forwarded in.
+const CHUNK_BYTES: usize = 64 << 10;
+/// Interval at which a blocked direction checks whether it is open again, besides the
+/// notification.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// The direction of bytes.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Direction {
+    /// From the side that opened the connection.
+    There,
+    /// To the side that opened the connection.
+    Back,
+}
+
+/// An impairment of a link.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Impairment {
+    /// Each chunk of bytes is delayed by this.
+    Delay(Duration),
+    /// Open connections are reset, and so are new ones.
+    Reset,
+    /// Bytes of one direction are blocked.
+    Cut(Direction),
+    /// Bytes of both directions are blocked.
+    Silence,
+}
+
+impl Impairment {
+    /// The name of the impairment in reports.
+    pub fn name(self) -> &'static str {
+        match self {
+            Impairment::Delay(_) => "delay",
+            Impairment::Reset => "reset",
+            Impairment::Cut(_) => "cut_one_way",
+            Impairment::Silence => "silence",
+        }
+    }
+
+    fn blocks(self, direction: Direction) -> bool {
+        match self {
+            Impairment::Silence => true,
+            Impairment::Cut(cut) => cut == direction,
+            Impairment::Delay(_) | Impairment::Reset => false,
+        }
+    }
+}
+
+#[derive(Debug)]
+struct State {
+    target: SocketAddr,
+    impairments: Mutex<Vec<Impairment>>,
+    reset: Event,
+    changed: Event,
+}
+
+/// A proxy to one address. Dropping it closes the listener and its connections.
+#[derive(Debug)]
+pub struct Proxy {
+    address: SocketAddr,
+    state: Arc<State>,
+    task: Mutex<Option<Task<()>>>,
+}
+
+impl Proxy {
+    /// Opens a proxy on a free port.
+    ///
+    /// # Errors
+    ///
+    /// No port could be bound.
+    pub fn open(target: SocketAddr) -> io::Result<Self> {
+        let listener = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
+        let address = listener.local_addr()?;
+        listener.set_nonblocking(true)?;
+        let listener = TcpListener::try_from(listener)?;
+        let state = Arc::new(State {
+            target,
+            impairments: Mutex::default(),
+            reset: Event::new(),
+            changed: Event::new(),
+        });
+        let shared = state.clone();
+        let task = smol::spawn(async move {
+            let mut open: Vec<Task<()>> = Vec::new();
+            loop {
+                open.retain(|task| !task.is_finished());
+                match listener.accept().await {
+                    Ok((near, _)) => open.push(smol::spawn(shared.clone().forward(near))),
+                    Err(error) => {
+                        eprintln!("a proxy could not accept a connection: {error}");
+                        Timer::after(POLL_INTERVAL).await;
+                    }
+                }
+            }
+        });
+        Ok(Self {
+            address,
+            state,
+            task: Mutex::new(Some(task)),
+        })
+    }
+
+    /// The address that the proxy listens on.
+    pub fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// Closes the listener and all connections.
+    pub fn close(&self) {
+        lock(&self.task).take();
+    }
+
+    /// Whether this impairment is active.
+    pub fn has(&self, wanted: Impairment) -> bool {
+        self.state.any(|impairment| impairment == wanted)
+    }
+
+    /// Activates an impairment.
+    pub fn impair(&self, impairment: Impairment) {
+        lock(&self.state.impairments).push(impairment);
+        if impairment == Impairment::Reset {
+            self.state.reset.notify(usize::MAX);
+        }
+    }
+
+    /// Clears an impairment that was activated.
+    pub fn clear(&self, impairment: Impairment) {
+        let mut impairments = lock(&self.state.impairments);
+        if let Some(at) = impairments.iter().position(|held| *held == impairment) {
+            impairments.swap_remove(at);
+        }
+        drop(impairments);
+        self.state.changed.notify(usize::MAX);
+    }
+}
+
+impl State {
+    fn any(&self, wanted: impl Fn(Impairment) -> bool) -> bool {
+        lock(&self.impairments)
+            .iter()
+            .any(|impairment| wanted(*impairment))
+    }
+
+    fn delay(&self) -> Duration {
+        let impairments = lock(&self.impairments);
+        let delays = impairments.iter().map(|impairment| match impairment {
+            Impairment::Delay(delay) => *delay,
+            _ => Duration::ZERO,
+        });
+        delays.max().unwrap_or_default()
+    }
+
+    async fn forward(self: Arc<Self>, near: TcpStream) {
+        let reset = self.reset.listen();
+        if self.any(|impairment| impairment == Impairment::Reset) {
+            return abort(&near);
+        }
+        let Ok(far) = TcpStream::connect(self.target).await else {
+            return abort(&near);
+        };
+        let there = self.copy_bytes(near.clone(), far.clone(), Direction::There);
+        let back = self.copy_bytes(far.clone(), near.clone(), Direction::Back);
+        let both = async { future::try_zip(there, back).await.is_ok() };
+        let was_reset = async {
+            reset.await;
+            false
+        };
+        if !both.or(was_reset).await {
+            abort(&near);
+            abort(&far);
+        }
+    }
+
+    /// Forwards bytes until the sender closes its side, then shuts down the receiver's
+    /// side.
+    async fn copy_bytes(
+        &self,
+        mut from: TcpStream,
+        mut to: TcpStream,
+        direction: Direction,
+    ) -> io::Result<()> {
+        let mut bytes = vec![0; CHUNK_BYTES];
+        loop {
+            let count = from.read(&mut bytes).await?;
+            self.wait_until_open(direction).await;
+            if count == 0 {
+                return to.shutdown(Shutdown::Write);
+            }
+            Timer::after(self.delay()).await;
+            to.write_all(&bytes[..count]).await?;
+        }
+    }
+
+    /// Waits until no impairment blocks a direction.
+    async fn wait_until_open(&self, direction: Direction) {
+        while self.any(|impairment| impairment.blocks(direction)) {
+            let changed = self.changed.listen();
+            let poll = async {
+                Timer::after(POLL_INTERVAL).await;
+            };
+            changed.or(poll).await;
+        }
+    }
+}
+
+/// Makes the connection end with a reset when it is dropped.
+fn abort(stream: &TcpStream) {
+    if let Err(error) = SockRef::from(stream).set_linger(Some(Duration::ZERO)) {
+        eprintln!("a connection could not be reset: {error}");
+    }
+}
--- a/crates/soak/src/rule/answers.rs
+++ b/crates/soak/src/rule/answers.rs
@@ -1,34 +1,34 @@
-//! Whether answers are whole, of their own server, and no wrong refusals.
+//! Checks that answers are complete, come from their own server, and are no wrong refusals.
 
 use tidepier_relay_standin::client::{Answer, End};
 use tidepier_relay_standin::{names, server};
 
-use super::{told, Rule, Verdict};
+use super::{describe, Rule, Verdict};
 use crate::bound;
-use crate::evidence::{Evidence, Seen};
-use crate::ledger::{Attempt, Fact, Traffic};
+use crate::evidence::{Delivery, Evidence};
+use crate::ledger::{Fact, Request, Traffic};
 
-/// Statuses of a server's own failures.
+/// Statuses that the stand-in servers give for failures of their own.
 const FAILURES: [u16; 2] = [500, 504];
-/// Refusals for good.
+/// Statuses of final refusals.
 const DENIALS: [u16; 7] = [400, 401, 403, 404, 405, 413, 431];
 
 pub(super) fn judge(evidence: &Evidence, verdict: &mut Verdict) {
-    for attempt in &evidence.attempts {
-        let (Some(answer), Some(ended)) = (&attempt.answer, attempt.ended) else {
+    for request in &evidence.requests {
+        let (Some(answer), Some(ended)) = (&request.answer, request.ended) else {
             continue;
         };
-        if let Some(wrong) = wrong(answer, attempt, evidence.seen(attempt)) {
-            let text = format!("{wrong}: {}", told(attempt));
-            verdict.broken(evidence, Rule::Answers, ended, text);
+        if let Some(wrong) = wrong(answer, request, evidence.deliveries(request)) {
+            let text = format!("{wrong}: {}", describe(request));
+            verdict.add_violation(evidence, Rule::Answers, ended, text);
         }
-        if DENIALS.contains(&answer.status) && is_allowed(evidence, attempt) {
-            verdict.broken(evidence, Rule::Denied, ended, told(attempt));
+        if DENIALS.contains(&answer.status) && is_allowed(evidence, request) {
+            verdict.add_violation(evidence, Rule::Denied, ended, describe(request));
         }
     }
 }
 
-fn wrong(answer: &Answer, attempt: &Attempt, seen: &[Seen]) -> Option<&'static str> {
+fn wrong(answer: &Answer, request: &Request, deliveries: &[Delivery]) -> Option<&'static str> {
     if answer.end == End::Malformed {
         return Some("bytes that are no answer");
     }
@@ -36,14 +36,14 @@
         return None;
     }
     let named = answer.field(names::ATTEMPT);
-    if named.is_some_and(|named| named != attempt.id) {
+    if named.is_some_and(|named| named != request.id) {
         return Some("an answer to another request");
     }
     let success = (200..300).contains(&answer.status);
     let Some(seal) = answer.field(names::SEAL) else {
         return success.then_some("a success without a signature");
     };
-    let Some(own) = seen.iter().find(|seen| seen.run.seal == seal) else {
+    let Some(own) = deliveries.iter().find(|delivery| delivery.run.seal == seal) else {
         return Some("the signature of another request");
     };
     if !success {
@@ -58,29 +58,31 @@
     (!prefix).then_some("broken off, with another beginning")
 }
 
-/// The whole body of a server's answer.
-fn expected(seen: &Seen) -> Vec<u8> {
-    match seen.server.events {
+/// The complete body of a server's answer.
+fn expected(delivery: &Delivery) -> Vec<u8> {
+    match delivery.server.events {
         Some(events) => (1..=events.count)
             .map(server::event)
             .collect::<String>()
             .into_bytes(),
-        None => seen.run.text(seen.server.answer_bytes),
+        None => delivery.run.text(delivery.server.answer_bytes),
     }
 }
 
-/// Whether each configuration that could be in force allows a request.
-fn is_allowed(evidence: &Evidence, attempt: &Attempt) -> bool {
-    if attempt.traffic != Traffic::Keyed {
+/// Whether all configurations that could be in force allow a request.
+fn is_allowed(evidence: &Evidence, request: &Request) -> bool {
+    if request.traffic != Traffic::Keyed {
         return true;
     }
-    let ended = attempt.ended.unwrap_or(attempt.sent);
+    let ended = request.ended.unwrap_or(request.sent);
     let gone = evidence.facts.iter().any(|(at, fact)| {
-        matches!(fact, Fact::KeyGone(key) if Some(key) == attempt.key.as_ref()) && *at <= ended
+        matches!(fact, Fact::KeyGone(key) if Some(key) == request.key.as_ref()) && *at <= ended
     });
-    // A new key comes with the change that takes an old one away.
+    // A new key is added by the change that removes an old one.
     let settled = evidence.facts.iter().all(|(at, fact)| {
-        !matches!(fact, Fact::Configuring) || *at > ended || *at + bound::APPLY < attempt.sent
+        !matches!(fact, Fact::Configuring)
+            || *at > ended
+            || *at + bound::APPLY_TIMEOUT < request.sent
     });
     !gone && settled
 }
--- a/crates/soak/src/rule/load.rs
+++ b/crates/soak/src/rule/load.rs
@@ -1,130 +1,141 @@
-//! How requests are spread over servers, and how many are repeats.
+//! Checks how requests are spread over servers, and how many are retries.
 
 use std::time::{Duration, Instant};
 
 use super::{before, Rule, Verdict};
 use crate::bound;
-use crate::evidence::{Evidence, Seen};
+use crate::evidence::{Delivery, Evidence};
 use crate::ledger::{Disturbance, Fact, Loads, Traffic};
 use crate::plan::{PLAIN, STREAM};
 
-/// Time without any disturbance after which it is calm.
-const CALM: Duration = Duration::from_secs(1);
-/// Fewest requests to crowded servers that break the rule.
-const CROWDED: usize = 20;
-/// Share of all requests that breaks it.
+/// Time without any disturbance before a window in which load is judged.
+const CALM_MIN: Duration = Duration::from_secs(1);
+/// Number of requests to crowded servers from which on the rule can be violated.
+const CROWDED_MIN: usize = 20;
+/// Share of all requests beyond which it is.
 const CROWDED_SHARE: f64 = 0.03;
-/// The name of a return of the store to a copy of itself.
-const RETURN: &str = "store_return";
+/// Name of the fault that restores the store from an older backup.
+const RESTORE_FAULT: &str = "store_return";
 
 pub(super) fn judge(evidence: &Evidence, verdict: &mut Verdict) {
     for service in [PLAIN, STREAM] {
-        let mut seen: Vec<&Seen> = evidence
-            .runs
+        let mut deliveries: Vec<&Delivery> = evidence
+            .deliveries
             .values()
             .flatten()
-            .filter(|seen| seen.server.service == service)
+            .filter(|delivery| delivery.server.service == service)
             .collect();
-        seen.sort_by_key(|seen| seen.run.arrived);
-        crowd(evidence, verdict, service, &seen);
-        retries(evidence, verdict, service);
+        deliveries.sort_by_key(|delivery| delivery.run.arrived);
+        judge_crowding(evidence, verdict, service, &deliveries);
+        judge_retries(evidence, verdict, service);
     }
 }
 
-fn crowd(evidence: &Evidence, verdict: &mut Verdict, service: &str, seen: &[&Seen]) {
+fn judge_crowding(
+    evidence: &Evidence,
+    verdict: &mut Verdict,
+    service: &str,
+    deliveries: &[&Delivery],
+) {
     let loads: Vec<&Loads> = evidence
         .loads
         .iter()
         .filter(|loads| loads.service == service)
         .collect();
-    for (last, end) in seen.iter().enumerate() {
+    for (last, end) in deliveries.iter().enumerate() {
         let begin = before(end.run.arrived, bound::CROWD_WINDOW);
-        let first = seen.partition_point(|seen| seen.run.arrived < begin);
-        let window = &seen[first..=last];
-        if window.len() < CROWDED || !is_calm(evidence, begin, end.run.arrived) {
+        let first = deliveries.partition_point(|delivery| delivery.run.arrived < begin);
+        let window = &deliveries[first..=last];
+        if window.len() < CROWDED_MIN || !is_calm(evidence, begin, end.run.arrived) {
             continue;
         }
         let over = window
             .iter()
-            .filter(|seen| is_crowded(&loads, seen))
+            .filter(|delivery| is_crowded(&loads, delivery))
             .count();
-        if over >= CROWDED && over as f64 > CROWDED_SHARE * window.len() as f64 {
+        if over >= CROWDED_MIN && over as f64 > CROWDED_SHARE * window.len() as f64 {
             let text = format!("{service}: {over} of {} in 5 s", window.len());
-            verdict.broken(evidence, Rule::Crowd, end.run.arrived, text);
+            verdict.add_violation(evidence, Rule::Crowd, end.run.arrived, text);
             return;
         }
     }
 }
 
 fn is_calm(evidence: &Evidence, from: Instant, to: Instant) -> bool {
-    let quiet = before(from, CALM);
+    let quiet = before(from, CALM_MIN);
     let changed = evidence.facts.iter().any(|(at, fact)| {
-        let meant = matches!(
+        let is_change = matches!(
             fact,
             Fact::Leaving(_) | Fact::Saying(_) | Fact::Configuring | Fact::Born(_)
         );
-        meant && *at >= quiet && *at <= to
+        is_change && *at >= quiet && *at <= to
     });
     let held = evidence
         .facts
         .iter()
         .any(|(at, fact)| matches!(fact, Fact::HeldUp(..)) && *at >= quiet && *at <= to);
-    let kept = a_hall_is_kept_empty(evidence, quiet, to);
-    !changed && !held && !kept && !evidence.disturbed(quiet, to, |_| true)
+    let may_be_empty = may_keep_hall_empty(evidence, quiet, to);
+    !changed && !held && !may_be_empty && !evidence.disturbed(quiet, to, |_| true)
 }
 
-/// Whether boxes may keep a hall empty within a time though it was taken back. An entry
-/// that is not there tells nothing of its time: where it went as the store came back from
-/// a copy, it may be missing from the copy alone, and what boxes knew holds for a while.
-fn a_hall_is_kept_empty(evidence: &Evidence, from: Instant, to: Instant) -> bool {
+/// Whether boxes may keep a hall empty within a time span although the operator cancelled
+/// its emptying. A missing entry has no revision: if it was removed while the store was
+/// being restored from a backup, boxes cannot tell whether it is missing from the backup
+/// alone, so what they knew before keeps precedence for a while.
+fn may_keep_hall_empty(evidence: &Evidence, from: Instant, to: Instant) -> bool {
     evidence.facts.iter().any(|(at, fact)| {
-        let kept = *at <= to && *at + bound::REVOKE >= from;
-        let returns = |found: &Disturbance| found.name == RETURN;
-        matches!(fact, Fact::TakenBack(_)) && kept && evidence.disturbed(*at, *at, returns)
+        let may_be_empty = *at <= to && *at + bound::REVOCATION_TIMEOUT >= from;
+        let is_restore = |found: &Disturbance| found.name == RESTORE_FAULT;
+        matches!(fact, Fact::TakenBack(_))
+            && may_be_empty
+            && evidence.disturbed(*at, *at, is_restore)
     })
 }
 
-/// Whether a server held far more than the mean when a request came.
-fn is_crowded(loads: &[&Loads], seen: &Seen) -> bool {
-    let next = loads.partition_point(|loads| loads.at < seen.run.arrived);
+/// Whether a server held far more requests than the mean when this one arrived.
+fn is_crowded(loads: &[&Loads], delivery: &Delivery) -> bool {
+    let next = loads.partition_point(|loads| loads.at < delivery.run.arrived);
     let Some(known) = next.checked_sub(1).map(|last| loads[last]) else {
         return false;
     };
-    let all: u32 = known.held.iter().map(|(_, held)| held).sum();
-    let mean = f64::from(all) / known.held.len().max(1) as f64;
-    let own = known.held.iter().find(|(id, _)| *id == seen.server.id);
+    let all: u32 = known.in_flight.iter().map(|(_, held)| held).sum();
+    let mean = f64::from(all) / known.in_flight.len().max(1) as f64;
+    let own = known
+        .in_flight
+        .iter()
+        .find(|(id, _)| *id == delivery.server.id);
     let most = bound::CROWD_FACTOR * mean + bound::CROWD_EXTRA;
     own.is_some_and(|(_, held)| f64::from(*held) > most)
 }
 
-/// Arrivals past the first of each request, against what the requests of the
-/// window, or of one shortly before it, allow.
-fn retries(evidence: &Evidence, verdict: &mut Verdict, service: &str) {
+/// Compares the retries of a window (deliveries after the first one of each request) with
+/// what the requests of that window, or of one shortly before, allow.
+fn judge_retries(evidence: &Evidence, verdict: &mut Verdict, service: &str) {
     let mut sent: Vec<Instant> = Vec::new();
-    let mut repeats: Vec<Instant> = Vec::new();
-    for attempt in &evidence.attempts {
-        if service_of(attempt.traffic) == Some(service) {
-            sent.push(attempt.sent);
-            let again = evidence.seen(attempt).iter().skip(1);
-            repeats.extend(again.map(|seen| seen.run.arrived));
+    let mut retries: Vec<Instant> = Vec::new();
+    for request in &evidence.requests {
+        if service_of(request.traffic) == Some(service) {
+            sent.push(request.sent);
+            let again = evidence.deliveries(request).iter().skip(1);
+            retries.extend(again.map(|delivery| delivery.run.arrived));
         }
     }
     sent.sort();
-    repeats.sort();
+    retries.sort();
     let within = |all: &[Instant], to: Instant| {
         let from = before(to, bound::RETRY_WINDOW);
         all.partition_point(|at| *at <= to) - all.partition_point(|at| *at < from)
     };
-    for end in &repeats {
+    for end in &retries {
         let earlier = [0.0, 0.5, 1.0].map(|part| before(*end, bound::RETRY_WINDOW.mul_f64(part)));
         let requests = earlier.map(|to| within(&sent, to));
         let most = requests.into_iter().max().unwrap_or(0) as f64;
-        // A reload may have raised the number by four.
+        // A reload of settings may have raised the bound by up to four.
         let allowed = bound::RETRY_SHARE * most + (bound::RETRY_EXTRA + 4) as f64;
-        let found = within(&repeats, *end);
+        let found = within(&retries, *end);
         if found as f64 > allowed {
             let text = format!("{service}: {found} repeats of {most} requests");
-            verdict.broken(evidence, Rule::Retries, *end, text);
+            verdict.add_violation(evidence, Rule::Retries, *end, text);
             return;
         }
     }
--- a/crates/soak/src/rule/mod.rs
+++ b/crates/soak/src/rule/mod.rs
@@ -1,66 +1,68 @@
-//! What has to hold, judged by what clients and servers saw.
+//! The rules, judged by what clients and servers observed.
 //!
-//! A rule is a function of an [`Evidence`]. Judging the same evidence again
-//! finds the same; a later one finds at least what was found before.
+//! A rule is a function of an [`Evidence`]. Judging the same evidence again gives the same
+//! findings; judging later evidence of the same run gives at least the earlier ones.
 
+mod advertisements;
 mod answers;
-mod beliefs;
-mod boxes;
+mod box_facts;
 mod crashing;
+mod executions;
 mod load;
 mod planned;
-mod runs;
-mod words;
+mod staleness;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::time::{Duration, Instant};
 
 use crate::evidence::Evidence;
-use crate::ledger::Attempt;
+use crate::ledger::Request;
 
-/// A rule.
+/// A rule. Its lower-case name appears in reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rule {
-    /// An answer is its own server's, whole or visibly broken off, in order.
+    /// An answer is that of the server that signed it, and either complete or visibly cut
+    /// off, with its parts in order.
     Answers,
-    /// Proper requests are not refused for good.
+    /// Valid requests are not refused with a final error.
     Denied,
-    /// Servers get what a client sent, for the account of its key.
+    /// Servers get only what a client sent, for the account of its key.
     Unasked,
-    /// What may run once runs once.
+    /// Requests that may be executed once are executed at most once.
     Once,
-    /// "Not run" is true.
+    /// A request whose answer says that it was not executed was not executed.
     Promises,
-    /// A request goes to no more servers than its route allows.
+    /// A request is sent to no more servers than its route allows.
     Spread,
-    /// Planned work costs no request.
+    /// Planned work loses no request.
     Planned,
-    /// A key that was taken away opens nothing after its bound.
+    /// A removed key is not accepted after the bound.
     Keys,
-    /// A box never goes back to an older configuration in one life.
+    /// A process of a box never goes back to an older configuration.
     StepBack,
-    /// A configuration is in force in time.
+    /// A configuration is applied in time.
     Apply,
-    /// A server that leaves gets nothing new after its bound.
+    /// A server whose entry announces that it leaves gets no requests after the bound.
     Leaving,
-    /// A server that says in an answer that it leaves gets nothing more from that box.
+    /// A server that announces in an answer that it leaves gets no more requests from the
+    /// box that received the answer.
     Told,
-    /// A server that asked a box for rest has it.
+    /// A server that requested a back-off from a box gets it.
     Rested,
-    /// A hall that is to be empty gets nothing new after its bound.
+    /// An emptied hall gets no requests after the bound.
     Emptied,
-    /// A request that ended three servers reaches no more than a few.
+    /// A request that crashed three servers reaches only a few more.
     Crashing,
-    /// In calm, no server is loaded far above the others.
+    /// Without disturbances, no server is loaded far above the mean.
     Crowd,
-    /// Repeats stay within their share.
+    /// Retries stay within their share.
     Retries,
-    /// After the last fault each box serves again in time.
+    /// After the last fault, each box serves requests again in time.
     Recovery,
-    /// After the faults, memory, descriptors and threads are back at a level.
+    /// After the faults, memory, descriptors and threads return to their level before.
     Growth,
-    /// No process ends by itself.
+    /// No process ends without a signal from the soak.
     Ended,
 }
 
@@ -96,14 +98,14 @@
     }
 }
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Debug, Clone)]
 pub struct Violation {
-    /// The rule.
+    /// The rule that was violated.
     pub rule: Rule,
-    /// When, from the beginning of the run.
+    /// When it happened, from the start of the run.
     pub at: Duration,
-    /// How.
+    /// What happened.
     pub text: String,
 }
 
@@ -114,61 +116,61 @@
     }
 }
 
-/// What judging has found.
+/// The findings of all rules.
 #[derive(Debug, Default)]
 pub struct Verdict {
-    /// Rules that were broken.
+    /// The violations.
     pub violations: Vec<Violation>,
-    /// Checks that were left out because a process was held up, by rule.
+    /// Ids of the requests whose check was left out because a process was held up, by rule.
     pub left_out: BTreeMap<Rule, BTreeSet<String>>,
 }
 
 impl Verdict {
-    /// Judges by all rules.
+    /// Evaluates all rules.
     pub fn new(evidence: &Evidence) -> Self {
         let mut verdict = Self::default();
         answers::judge(evidence, &mut verdict);
-        runs::judge(evidence, &mut verdict);
+        executions::judge(evidence, &mut verdict);
         planned::judge(evidence, &mut verdict);
-        beliefs::judge(evidence, &mut verdict);
+        staleness::judge(evidence, &mut verdict);
         load::judge(evidence, &mut verdict);
         crashing::judge(evidence, &mut verdict);
-        words::judge(evidence, &mut verdict);
-        boxes::judge(evidence, &mut verdict);
+        advertisements::judge(evidence, &mut verdict);
+        box_facts::judge(evidence, &mut verdict);
         verdict
     }
 
-    fn broken(&mut self, evidence: &Evidence, rule: Rule, at: Instant, text: String) {
-        let at = at.saturating_duration_since(evidence.begun);
+    fn add_violation(&mut self, evidence: &Evidence, rule: Rule, at: Instant, text: String) {
+        let at = at.saturating_duration_since(evidence.started);
         self.violations.push(Violation { rule, at, text });
     }
 
-    /// Whether a check bound by time is left out, as its box or the soak was
-    /// held up between two moments.
+    /// Whether a check with a time bound is left out because the box or the soak was held
+    /// up in a time span. Records it if so.
     fn leaves_out(
         &mut self,
         evidence: &Evidence,
         rule: Rule,
-        attempt: &Attempt,
+        request: &Request,
         [from, to]: [Instant; 2],
     ) -> bool {
-        let held = evidence.held_up(attempt.place, from, to);
+        let held = evidence.held_up(request.box_index, from, to);
         if held {
             let ids = self.left_out.entry(rule).or_default();
-            ids.insert(attempt.id.clone());
+            ids.insert(request.id.clone());
         }
         held
     }
 }
 
-/// A moment earlier by a time.
+/// The moment that lies `time` before `at`.
 fn before(at: Instant, time: Duration) -> Instant {
     at.checked_sub(time).unwrap_or(at)
 }
 
-/// What a reader of a violation needs of a request.
-pub(crate) fn told(attempt: &Attempt) -> String {
-    let answer = match &attempt.answer {
+/// Describes a request and its answer for reports.
+pub(crate) fn describe(request: &Request) -> String {
+    let answer = match &request.answer {
         Some(answer) => format!(
             "{} {:?} after {:?}, {} bytes, whole: {}",
             answer.status,
@@ -179,8 +181,11 @@
         ),
         None => "open".into(),
     };
-    let Attempt {
-        id, traffic, place, ..
-    } = attempt;
-    format!("{traffic:?} {id} at box {place} ({answer})")
+    let Request {
+        id,
+        traffic,
+        box_index,
+        ..
+    } = request;
+    format!("{traffic:?} {id} at box {box_index} ({answer})")
 }
--- a/crates/soak/src/rule/planned.rs
+++ b/crates/soak/src/rule/planned.rs
@@ -1,56 +1,57 @@
-//! Whether planned work costs requests: a SIGTERM, changed settings, a changed
+//! Checks that planned work loses no requests: a SIGTERM, changed settings, a changed
 //! configuration.
 
 use std::time::{Duration, Instant};
 
 use tidepier_relay_standin::client::End;
 
-use super::{before, told, Rule, Verdict};
+use super::{before, describe, Rule, Verdict};
 use crate::bound;
 use crate::evidence::Evidence;
-use crate::ledger::{Attempt, Fact, Place};
+use crate::ledger::{Fact, Request, Scope};
 use crate::plan::TIMEOUT;
 
-/// Time after the work that still counts as it.
-const AFTER: Duration = Duration::from_secs(1);
-/// Share of its time after which a request may be lost.
-const LATE: f64 = 0.7;
+/// Time after planned work for which a lost request still counts as its effect.
+const EFFECT_TIME: Duration = Duration::from_secs(1);
+/// Share of the time-out of a request after which its loss is not held against planned
+/// work.
+const LATE_SHARE: f64 = 0.7;
 
 pub(super) fn judge(evidence: &Evidence, verdict: &mut Verdict) {
-    for attempt in &evidence.attempts {
-        let (Some(answer), Some(ended)) = (&attempt.answer, attempt.ended) else {
+    for request in &evidence.requests {
+        let (Some(answer), Some(ended)) = (&request.answer, request.ended) else {
             continue;
         };
         let broken = matches!(answer.end, End::Closed | End::Reset) && !answer.complete;
-        let seen = evidence.seen(attempt);
-        let read = !seen.is_empty() || answer.elapsed > bound::LOSS_SLACK;
-        let late = answer.elapsed > TIMEOUT.mul_f64(LATE);
-        if !broken || !read || late || !is_planned(evidence, attempt, ended) {
+        let deliveries = evidence.deliveries(request);
+        let read = !deliveries.is_empty() || answer.elapsed > bound::LOSS_SLACK;
+        let late = answer.elapsed > TIMEOUT.mul_f64(LATE_SHARE);
+        if !broken || !read || late || !is_planned(evidence, request, ended) {
             continue;
         }
-        let from = before(attempt.sent, bound::CONTACT);
+        let from = before(request.sent, bound::GRACE_PERIOD);
         let disturbed = evidence.disturbed(from, ended, |found| {
-            let here = found.place == Place::Box(attempt.place) || found.place == Place::Server;
+            let here = found.scope == Scope::Box(request.box_index) || found.scope == Scope::Server;
             here && !found.planned
         });
-        // Without a server, only time tells that the request had been read.
-        let timed = seen.is_empty();
-        let span = [attempt.sent, ended];
-        if disturbed || timed && verdict.leaves_out(evidence, Rule::Planned, attempt, span) {
+        // If no server got the request, only the time shows that the box had read it.
+        let timed = deliveries.is_empty();
+        let span = [request.sent, ended];
+        if disturbed || timed && verdict.leaves_out(evidence, Rule::Planned, request, span) {
             continue;
         }
-        verdict.broken(evidence, Rule::Planned, ended, told(attempt));
+        verdict.add_violation(evidence, Rule::Planned, ended, describe(request));
     }
 }
 
-/// Whether planned work was under way at its box.
-fn is_planned(evidence: &Evidence, attempt: &Attempt, ended: Instant) -> bool {
+/// Whether planned work was in progress at the box of the request.
+fn is_planned(evidence: &Evidence, request: &Request, ended: Instant) -> bool {
     let here = |found: &crate::ledger::Disturbance| {
-        found.planned && found.place == Place::Box(attempt.place)
+        found.planned && found.scope == Scope::Box(request.box_index)
     };
-    let recent = before(attempt.sent, AFTER);
+    let recent = before(request.sent, EFFECT_TIME);
     let configured = evidence.facts.iter().any(|(at, fact)| {
-        let within = *at <= ended && attempt.sent <= *at + bound::APPLY + AFTER;
+        let within = *at <= ended && request.sent <= *at + bound::APPLY_TIMEOUT + EFFECT_TIME;
         matches!(fact, Fact::Configuring) && within
     });
     configured || evidence.disturbed(recent, ended, here)
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,7 +1,7 @@
-//! One seed from its start to its verdict.
+//! Runs one seed from start to verdict.
 //!
-//! A run ends at its first violation, or after: a calm beginning, the schedule,
-//! the return of service, and a calm end without load.
+//! A run ends at its first violation. Otherwise it consists of a calm beginning, the
+//! schedule, the wait until all boxes serve again, and a calm end without load.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -20,69 +20,71 @@
 use crate::process::Level;
 use crate::rule::{Rule, Verdict};
 use crate::schedule::Schedule;
-use crate::{bound, pulse, rule};
+use crate::{bound, delay_monitor, rule};
 
-/// Calm before the first fault.
+/// Time without faults before the schedule.
 const WARM_UP: Duration = Duration::from_secs(2);
-/// Calm after service is back: the window of the load's rule and a little.
-const CLOSING: Duration = Duration::from_millis(6_500);
-/// Time between two judgements.
-const JUDGE: Duration = Duration::from_secs(1);
-/// Time between two checks of a condition that is waited for.
-const LOOK: Duration = Duration::from_millis(100);
-/// Successes in a row after which a box serves again: more than one of each
+/// Time without faults after all boxes serve again: the window of the load rule and a
+/// margin.
+const FINAL_CALM: Duration = Duration::from_millis(6_500);
+/// Time between two evaluations of the rules.
+const JUDGE_INTERVAL: Duration = Duration::from_secs(1);
+/// Time between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Consecutive successes after which a box counts as serving again: more than one of each
 /// kind of request.
-const SERVED: usize = 12;
-/// Time for a process to give back what it held, once the load is over: its
-/// idle connections to servers end before.
-const SETTLE: Duration = Duration::from_secs(8);
-/// Memory that a process may hold beyond its beginning, in kB: buffers and
-/// records of a fleet of this size, and what an allocator keeps.
-const MEMORY_KB: u64 = 24 << 10;
-/// Descriptors that a process may hold beyond its beginning: kept connections
-/// to servers and boxes that came later.
-const DESCRIPTORS: u64 = 48;
-/// Boxes whose questions that covers.
-const FEW_BOXES: usize = 4;
+const SUCCESSES_MIN: usize = 12;
+/// Time for a process to release resources after the load has stopped: longer than its idle
+/// connections to servers are kept.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(8);
+/// Bound on the growth of the memory of a process, in kB: buffers and records for a fleet
+/// of this size, and what the allocator retains.
+const MEMORY_GROWTH_MAX_KB: u64 = 24 << 10;
+/// Bound on the growth of the descriptors of a process: kept connections to servers and
+/// boxes that were added later.
+const DESCRIPTOR_GROWTH_MAX: u64 = 48;
+/// Number of boxes whose peer connections this bound covers.
+const COVERED_BOXES: usize = 4;
 
-/// Longest time that a histogram holds, in ms: beyond a client's patience.
-const TIME_MAX_MS: u64 = 10_000;
+/// Largest latency that the histogram holds, in ms: more than the time-out of a client.
+const LATENCY_MAX_MS: u64 = 10_000;
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Its seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// Faults that were carried out, by name.
+    /// Number of faults that were carried out, by name.
     pub faults: BTreeMap<String, u64>,
-    /// Requests that were sent.
+    /// Number of requests sent.
     pub requests: u64,
-    /// Times of served requests, in ms.
-    pub times: Histogram<u64>,
-    /// What the rules found.
+    /// Latencies of the requests that were served, in ms.
+    pub latencies: Histogram<u64>,
+    /// The findings of the rules.
     pub verdict: Verdict,
-    /// How long it took.
-    pub took: Duration,
+    /// Duration of the run.
+    pub duration: Duration,
 }
 
-/// Where a run finds its program and leaves its files.
+/// The program, the folder and the additional faults of a run.
 #[derive(Debug, Clone)]
-pub struct Place {
-    /// The relay's program.
+pub struct Options {
+    /// Path of the relay program.
     pub relay: PathBuf,
-    /// Folder for settings and logs; removed after a run without findings.
+    /// Folder for settings and logs; removed after a run without violations.
     pub folder: PathBuf,
-    /// Whether halls of servers are emptied beside what the seed decides.
+    /// Whether halls of servers are emptied in addition to the faults of the seed.
     pub emptied_halls: bool,
-    /// Whether requests end their servers beside it.
+    /// Whether requests crash servers in addition.
     pub crashing_requests: bool,
-    /// Whether machines are suspended beside it.
+    /// Whether boxes are suspended in addition.
     pub suspensions: bool,
-    /// Whether servers say in answers that they leave, or ask for rest, beside it.
+    /// Whether servers announce in answers that they leave, or request back-offs, in
+    /// addition.
     pub words: bool,
-    /// Whether the store goes back to copies of itself beside it.
+    /// Whether the store is restored from backups in addition.
     pub returns: bool,
-    /// How many boxes there are in place of what the seed decides.
+    /// Number of boxes in place of the one that the seed determines.
     pub boxes: Option<usize>,
 }
 
@@ -90,57 +92,57 @@
 ///
 /// # Errors
 ///
-/// The fleet could not be started or handled; this says nothing of its rules.
-pub async fn seed(seed: u64, place: &Place) -> eyre::Result<Outcome> {
+/// The fleet cannot be started or controlled. This does not count as a violation.
+pub async fn seed(seed: u64, options: &Options) -> eyre::Result<Outcome> {
     let mut schedule = Schedule::new(seed);
-    if place.emptied_halls {
+    if options.emptied_halls {
         schedule = schedule.with_emptied_halls();
     }
-    if place.crashing_requests {
+    if options.crashing_requests {
         schedule = schedule.with_crashing_requests();
     }
-    if place.suspensions {
+    if options.suspensions {
         schedule = schedule.with_suspensions();
     }
-    if place.words {
+    if options.words {
         schedule = schedule.with_words();
     }
-    if place.returns {
+    if options.returns {
         schedule = schedule.with_returns();
     }
-    if let Some(boxes) = place.boxes {
+    if let Some(boxes) = options.boxes {
         schedule = schedule.with_boxes(boxes);
     }
-    let folder = place.folder.join(format!("seed-{seed}"));
+    let folder = options.folder.join(format!("seed-{seed}"));
     clear(&folder)?;
     fs::create_dir_all(&folder)?;
     fs::write(folder.join("schedule.txt"), format!("{schedule:#?}\n"))?;
-    let begun = Instant::now();
-    let fleet = Fleet::start(&schedule, &place.relay, &folder).await?;
-    let judged = judge_often(fleet.clone(), begun);
-    let played = async {
-        play(&fleet, &schedule).await?;
+    let started = Instant::now();
+    let fleet = Fleet::start(&schedule, &options.relay, &folder).await?;
+    let judged = judge_periodically(fleet.clone(), started);
+    let finished = async {
+        run_schedule(&fleet, &schedule).await?;
         Ok(Verdict::new(&Evidence::gather(
             &fleet.ledger,
-            begun,
-            || fleet.seen(),
+            started,
+            || fleet.deliveries(),
         )))
     };
-    let verdict = played.or(judged).await?;
-    let evidence = Evidence::gather(&fleet.ledger, begun, || fleet.seen());
+    let verdict = finished.or(judged).await?;
+    let evidence = Evidence::gather(&fleet.ledger, started, || fleet.deliveries());
     let outcome = Outcome {
         seed,
         faults: fleet.ledger.faults(),
-        requests: evidence.attempts.len() as u64,
-        times: times(&evidence)?,
+        requests: evidence.requests.len() as u64,
+        latencies: latencies(&evidence)?,
         verdict,
-        took: begun.elapsed(),
+        duration: started.elapsed(),
     };
     drop(fleet);
     if outcome.verdict.violations.is_empty() {
         clear(&folder)?;
     } else {
-        keep(&folder, &evidence, &outcome.verdict)?;
+        write_findings(&folder, &evidence, &outcome.verdict)?;
     }
     Ok(outcome)
 }
@@ -152,12 +154,12 @@
     }
 }
 
-/// Judges while the run goes on; ends with the first violation.
-async fn judge_often(fleet: Arc<Fleet>, begun: Instant) -> eyre::Result<Verdict> {
+/// Evaluates the rules while the run goes on; returns at the first violation.
+async fn judge_periodically(fleet: Arc<Fleet>, started: Instant) -> eyre::Result<Verdict> {
     loop {
-        Timer::after(JUDGE).await;
+        Timer::after(JUDGE_INTERVAL).await;
         fleet.restart_ended()?;
-        let evidence = Evidence::gather(&fleet.ledger, begun, || fleet.seen());
+        let evidence = Evidence::gather(&fleet.ledger, started, || fleet.deliveries());
         let verdict = smol::unblock(move || Verdict::new(&evidence)).await;
         if !verdict.violations.is_empty() {
             return Ok(verdict);
@@ -165,13 +167,15 @@
     }
 }
 
-async fn play(fleet: &Arc<Fleet>, schedule: &Schedule) -> eyre::Result<()> {
-    let _watch = smol::spawn(pulse::watch(fleet.clone()));
-    let _sample = smol::spawn(fleet.clone().sample());
-    let _copies = smol::spawn(fleet.clone().keep_copies());
+async fn run_schedule(fleet: &Arc<Fleet>, schedule: &Schedule) -> eyre::Result<()> {
+    let _monitor = smol::spawn(delay_monitor::watch(fleet.clone()));
+    let _samples = smol::spawn(fleet.clone().sample_loads());
+    let _backups = smol::spawn(fleet.clone().keep_backups());
     let load = Load::start(fleet, schedule.seed);
     Timer::after(WARM_UP).await;
-    let levels: Vec<_> = (0..fleet.boxes()).map(|place| fleet.level(place)).collect();
+    let levels: Vec<_> = (0..fleet.box_count())
+        .map(|box_index| fleet.level(box_index))
+        .collect();
     let start = Instant::now();
     let mut steps: Vec<Task<eyre::Result<()>>> = Vec::new();
     for step in &schedule.steps {
@@ -181,107 +185,109 @@
     for step in steps {
         step.await?;
     }
-    return_of_service(fleet).await;
-    Timer::after(CLOSING).await;
+    wait_for_recovery(fleet).await;
+    Timer::after(FINAL_CALM).await;
     load.finish().await;
-    growth(fleet, &levels).await;
+    record_growth(fleet, &levels).await;
     Ok(())
 }
 
-/// Waits until each box serves again, or its time is over.
-async fn return_of_service(fleet: &Fleet) {
-    let mended = Instant::now();
-    let mut waiting: Vec<usize> = (0..fleet.boxes()).collect();
+/// Waits until each box serves again, or records those that do not in time.
+async fn wait_for_recovery(fleet: &Fleet) {
+    let faults_ended = Instant::now();
+    let mut waiting: Vec<usize> = (0..fleet.box_count()).collect();
     while !waiting.is_empty() {
-        Timer::after(LOOK).await;
-        waiting.retain(|place| {
-            let recent = fleet.ledger.recent(*place, mended);
-            let row = recent.iter().take_while(|served| **served).count();
-            row < SERVED
+        Timer::after(POLL_INTERVAL).await;
+        waiting.retain(|box_index| {
+            let recent = fleet.ledger.recent_results(*box_index, faults_ended);
+            let in_a_row = recent.iter().take_while(|served| **served).count();
+            in_a_row < SUCCESSES_MIN
         });
-        if mended.elapsed() > bound::RECOVER {
-            for place in waiting {
-                fleet.ledger.fact(Fact::StillDown(place));
+        if faults_ended.elapsed() > bound::RECOVERY_TIMEOUT {
+            for box_index in waiting {
+                fleet.ledger.record_fact(Fact::StillDown(box_index));
             }
             return;
         }
     }
 }
 
-/// Compares what processes hold with what they held before the faults.
-async fn growth(fleet: &Fleet, before: &[Option<Level>]) {
+/// Waits until the processes hold no more resources than they may beyond those before the
+/// faults, or records the excess.
+async fn record_growth(fleet: &Fleet, before: &[Option<Level>]) {
     let start = Instant::now();
     loop {
-        let places = before.iter().enumerate();
-        let grown = places.filter_map(|(place, before)| {
-            let what = grown((*before)?, fleet.level(place)?, fleet.boxes())?;
-            Some((place, what))
+        let boxes = before.iter().enumerate();
+        let grown = boxes.filter_map(|(box_index, before)| {
+            let what =
+                growth_beyond_limits((*before)?, fleet.level(box_index)?, fleet.box_count())?;
+            Some((box_index, what))
         });
         let grown: Vec<(usize, String)> = grown.collect();
         if grown.is_empty() {
             return;
         }
-        if start.elapsed() > SETTLE {
-            for (place, what) in grown {
-                fleet.ledger.fact(Fact::Grown(place, what));
+        if start.elapsed() > SETTLE_TIMEOUT {
+            for (box_index, what) in grown {
+                fleet.ledger.record_fact(Fact::Grown(box_index, what));
             }
             return;
         }
-        Timer::after(LOOK).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
-/// How a process has grown beyond what it may hold; `None`: it has not. A box that the
-/// others ask since the faults has two connections of each.
-fn grown(before: Level, now: Level, boxes: usize) -> Option<String> {
-    let asking = 2 * boxes.saturating_sub(FEW_BOXES) as u64;
-    let within = now.memory_kb <= before.memory_kb + MEMORY_KB
-        && now.descriptors <= before.descriptors + DESCRIPTORS + asking
+/// Describes how a process has grown beyond the bounds; `None` if it has not. A box that
+/// all others began to follow during the faults has two connections from each of them.
+fn growth_beyond_limits(before: Level, now: Level, boxes: usize) -> Option<String> {
+    let peer_connections = 2 * boxes.saturating_sub(COVERED_BOXES) as u64;
+    let within = now.memory_kb <= before.memory_kb + MEMORY_GROWTH_MAX_KB
+        && now.descriptors <= before.descriptors + DESCRIPTOR_GROWTH_MAX + peer_connections
         && now.threads <= before.threads;
     (!within).then(|| format!("{before:?} grew to {now:?}"))
 }
 
-/// Times of the served requests, in ms.
-fn times(evidence: &Evidence) -> eyre::Result<Histogram<u64>> {
-    let mut times = Histogram::new_with_max(TIME_MAX_MS, 2)?;
-    let served = evidence.attempts.iter().filter(|attempt| attempt.served());
-    for answer in served.filter_map(|attempt| attempt.answer.as_ref()) {
-        times.saturating_record(answer.elapsed.as_millis() as u64);
+/// Latencies of the served requests, in ms.
+fn latencies(evidence: &Evidence) -> eyre::Result<Histogram<u64>> {
+    let mut latencies = Histogram::new_with_max(LATENCY_MAX_MS, 2)?;
+    let served = evidence.requests.iter().filter(|request| request.served());
+    for answer in served.filter_map(|request| request.answer.as_ref()) {
+        latencies.saturating_record(answer.elapsed.as_millis() as u64);
     }
-    Ok(times)
+    Ok(latencies)
 }
 
-/// Leaves what a reader of a failure needs beside the boxes' logs.
-fn keep(folder: &Path, evidence: &Evidence, verdict: &Verdict) -> io::Result<()> {
-    let since = |at: Instant| at.saturating_duration_since(evidence.begun).as_secs_f64();
+/// Writes the files that are needed to analyse a failure, beside the logs of the boxes.
+fn write_findings(folder: &Path, evidence: &Evidence, verdict: &Verdict) -> io::Result<()> {
+    let since = |at: Instant| at.saturating_duration_since(evidence.started).as_secs_f64();
     let mut lines = timeline(evidence);
     lines.sort_by_key(|(at, _)| *at);
-    let told = lines
+    let text = lines
         .into_iter()
         .map(|(at, line)| format!("{:9.3} {line}\n", since(at)));
-    fs::write(folder.join("timeline.txt"), told.collect::<String>())?;
+    fs::write(folder.join("timeline.txt"), text.collect::<String>())?;
     let findings = verdict.violations.iter().map(|found| format!("{found}\n"));
     fs::write(folder.join("violations.txt"), findings.collect::<String>())
 }
 
-/// What was done and seen, with its moments, in no order.
+/// Lists what was done and observed with its time, in no particular order.
 fn timeline(evidence: &Evidence) -> Vec<(Instant, String)> {
     let mut lines: Vec<(Instant, String)> = Vec::new();
     for found in &evidence.disturbances {
-        let place = found.place;
-        lines.push((found.from, format!("begin {} {place:?}", found.name)));
+        let scope = found.scope;
+        lines.push((found.from, format!("begin {} {scope:?}", found.name)));
         if let Some(to) = found.to {
-            lines.push((to, format!("end {} {place:?}", found.name)));
+            lines.push((to, format!("end {} {scope:?}", found.name)));
         }
     }
     for (at, fact) in &evidence.facts {
         lines.push((*at, format!("{fact:?}")));
     }
-    for attempt in &evidence.attempts {
-        let text = rule::told(attempt);
-        lines.push((attempt.sent, format!("sent {text}")));
-        for seen in evidence.seen(attempt) {
-            let (id, run) = (&seen.server.id, &seen.run);
+    for request in &evidence.requests {
+        let text = rule::describe(request);
+        lines.push((request.sent, format!("sent {text}")));
+        for delivery in evidence.deliveries(request) {
+            let (id, run) = (&delivery.server.id, &delivery.run);
             let text = format!("reached {id} {} {:?}", run.attempt, run.outcome);
             lines.push((run.arrived, text));
         }
@@ -289,8 +295,8 @@
     lines
 }
 
-/// The number of violations by rule; all rules are named.
-pub fn count<'a>(verdicts: impl Iterator<Item = &'a Verdict>) -> BTreeMap<String, u64> {
+/// Number of violations of each rule, also of those without any.
+pub fn count_by_rule<'a>(verdicts: impl Iterator<Item = &'a Verdict>) -> BTreeMap<String, u64> {
     let mut counts: BTreeMap<String, u64> =
         Rule::ALL.iter().map(|rule| (rule.to_string(), 0)).collect();
     for violation in verdicts.flat_map(|verdict| &verdict.violations) {
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,7 +1,7 @@
-//! What a seed decides: the shape of the fleet, and each fault with its time.
+//! The schedule of a seed: the shape of the fleet, and each fault with its time.
 //!
-//! A schedule is a function of its seed alone. It names boxes and servers by
-//! numbers: see [`crate::fault`].
+//! A schedule is a function of its seed alone. It identifies boxes and servers by numbers:
+//! see [`crate::fault`].
 
 use std::ops::{Range, RangeInclusive};
 use std::time::Duration;
@@ -14,67 +14,72 @@
 
 use crate::fault::{Config, Fault, Link, Return, Server, Signal, Store};
 use crate::plan::SERVER_HALLS;
-use crate::way::{Direction, Harm};
+use crate::proxy::{Direction, Impairment};
 
-/// Fewest and most boxes.
+/// Range of the number of boxes.
 const BOXES: RangeInclusive<usize> = 2..=4;
-/// Fewest and most faults.
+/// Range of the number of faults.
 const STEPS: RangeInclusive<usize> = 6..=14;
-/// Numbers of servers; more than there are, so that all may be hit.
+/// Numbers of servers; more than there are servers, so that each of them may be affected.
 const SERVER_NUMBERS: Range<usize> = 0..64;
-/// The time within which faults begin, in ms.
-const SPAN_MS: Range<u64> = 0..10_000;
-/// How long a fault lasts, in ms: short of and beyond the times after which
-/// boxes doubt each other.
-const LASTS_MS: Range<u64> = 100..4_500;
-/// How long a box is blind for a change, in ms: beyond the bound on keys.
-const BLIND_MS: Range<u64> = 5_000..7_500;
-/// Time from the beginning of the blindness to the change.
-const BLIND_BEFORE: Duration = Duration::from_millis(300);
-/// How often halls are emptied in a run where they are.
-const EMPTIED: usize = 3;
-/// Makes the choice of emptied halls another one than that of the other faults.
+/// Time at which faults begin, in ms.
+const START_MS: Range<u64> = 0..10_000;
+/// Duration of a fault, in ms: both below and above the times after which boxes consider
+/// each other lost.
+const DURATION_MS: Range<u64> = 100..4_500;
+/// Duration of the store outage around a key removal, in ms: longer than the bound on
+/// removed keys.
+const CUT_OFF_MS: Range<u64> = 5_000..7_500;
+/// Time from the start of that outage to the removal.
+const CUT_OFF_LEAD: Duration = Duration::from_millis(300);
+/// Number of emptied halls that [`Schedule::with_emptied_halls`] adds.
+const EMPTYINGS: usize = 3;
+/// Mixed into the seed, so that the emptied halls are chosen independently of the other
+/// faults.
 const EMPTIED_SEED: u64 = 0x656d_7074_6965_6421;
-/// Requests that end their servers in a run where there are some.
-const CRASHING: usize = 2;
-/// Makes their choice another one than that of the other faults.
+/// Number of crashing requests that [`Schedule::with_crashing_requests`] adds.
+const CRASHING_REQUESTS: usize = 2;
+/// Mixed into the seed, so that these requests are chosen independently of the other
+/// faults.
 const CRASHING_SEED: u64 = 0x6372_6173_6869_6e67;
-/// How long they are sent, in ms: beyond the time after which all boxes know.
-const INSIST_MS: Range<u64> = 6_500..9_000;
-/// How often machines are suspended in a run where they are.
-const SUSPENDED: usize = 3;
-/// Makes that choice another one.
+/// How long such a request is sent, in ms: longer than it takes until all boxes know of it.
+const CRASHING_MS: Range<u64> = 6_500..9_000;
+/// Number of suspensions that [`Schedule::with_suspensions`] adds.
+const SUSPENSIONS: usize = 3;
+/// Mixed into the seed, so that suspensions are chosen independently of the other faults.
 const SUSPENDED_SEED: u64 = 0x7375_7370_656e_6465;
-/// How long a machine is suspended, in ms: beyond the bound on keys.
+/// Duration of a suspension, in ms: up to more than the bound on removed keys.
 const SUSPENDED_MS: Range<u64> = 500..7_000;
-/// Servers that leave by their answers alone in a run where some do, and those that ask
-/// for rest.
-const SAYING: usize = 2;
-const RESTING: usize = 4;
-/// Makes that choice another one.
+/// Number of servers that announce only in their answers that they leave, and of those that
+/// request back-offs, which [`Schedule::with_words`] adds.
+const LEAVING_SERVERS: usize = 2;
+const BACKING_OFF_SERVERS: usize = 4;
+/// Mixed into the seed, so that these servers are chosen independently of the other faults.
 const WORDS_SEED: u64 = 0x7761_6e74_7265_7374;
-/// How long servers turn requests away that ask for rest, in ms: up to several rests.
-const TURNING_MS: Range<u64> = 300..5_000;
-/// The rest that they ask for, in ms.
-const REST_MS: Range<u64> = 700..4_000;
-/// How often the store goes back to a copy in a run where it does.
+/// How long servers that request a back-off reject requests, in ms: up to several
+/// back-offs.
+const REJECTING_MS: Range<u64> = 300..5_000;
+/// The back-off that they request, in ms.
+const BACKOFF_MS: Range<u64> = 700..4_000;
+/// Number of restores of the store that [`Schedule::with_returns`] adds.
 const RETURNS: usize = 3;
-/// Makes that choice another one.
+/// Mixed into the seed, so that restores are chosen independently of the other faults.
 const RETURNS_SEED: u64 = 0x7265_7475_726e_6564;
-/// How long the store is away before it does, in ms.
-const AWAY_MS: Range<u64> = 0..2_500;
-/// How old the copy is, in ms.
-const BEHIND_MS: Range<u64> = 300..8_000;
-/// Time until the operator writes again, in ms: before the store's word counts again.
-const OPERATOR_MS: Range<u64> = 0..2_800;
-/// Time until a server does, in ms.
-const SERVERS_MS: Range<u64> = 0..2_000;
-/// Time from one return to another one in quick succession, in ms.
-const AGAIN_MS: Range<u64> = 100..1_500;
-/// Delays of a slow way or store, in ms.
+/// Duration of the outage before a restore, in ms.
+const OUTAGE_MS: Range<u64> = 0..2_500;
+/// Age of the backup, in ms.
+const BACKUP_AGE_MS: Range<u64> = 300..8_000;
+/// Time until the operator writes its entries again, in ms: less than boxes wait before
+/// they treat the answers of the store as authoritative again.
+const OPERATOR_DELAY_MS: Range<u64> = 0..2_800;
+/// Time until a server writes its entry again, in ms.
+const SERVER_DELAY_MS: Range<u64> = 0..2_000;
+/// Time from the end of the outage of the second-last restore to the last one, in ms.
+const RETURN_GAP_MS: Range<u64> = 100..1_500;
+/// Delays of a slow link or store, in ms.
 const DELAY_MS: Range<u64> = 5..600;
 
-/// A fault with its time, counted from the beginning of the faults.
+/// A fault with its time, counted from the end of the warm-up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Step {
     /// When it begins.
@@ -85,16 +90,16 @@
     pub fault: Fault,
 }
 
-/// All that a seed decides.
+/// Everything that a seed determines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Schedule {
     /// The seed.
     pub seed: u64,
     /// Number of boxes.
     pub boxes: usize,
-    /// Number of halls that they are spread over.
+    /// Number of halls that the boxes are spread over.
     pub halls: usize,
-    /// The faults, in the order of their times.
+    /// The faults, ordered by the time at which they begin.
     pub steps: Vec<Step>,
 }
 
@@ -107,9 +112,11 @@
         let count = rng.random_range(STEPS);
         let mut steps: Vec<Step> = (0..count).map(|_| step(&mut rng, boxes)).collect();
         let revoked = |step: &&Step| step.fault == Fault::Config(Config::Revoke);
-        let blinding = steps.iter().filter(revoked);
-        let blinding: Vec<Step> = blinding.map(|step| blind(&mut rng, step, boxes)).collect();
-        steps.extend(blinding);
+        let outages = steps.iter().filter(revoked);
+        let outages: Vec<Step> = outages
+            .map(|step| cut_off_store(&mut rng, step, boxes))
+            .collect();
+        steps.extend(outages);
         steps.sort_by_key(|step| step.at);
         Self {
             seed,
@@ -119,72 +126,71 @@
         }
     }
 
-    /// The same, and halls of servers are emptied beside it: what a seed decided
-    /// before stays as it is.
+    /// Adds emptied halls. The other faults of the seed stay as they are.
     pub fn with_emptied_halls(self) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ EMPTIED_SEED);
-        let steps = (0..EMPTIED).map(|_| Step {
-            at: ms(&mut rng, SPAN_MS),
-            lasts: ms(&mut rng, LASTS_MS),
+        let steps = (0..EMPTYINGS).map(|_| Step {
+            at: ms(&mut rng, START_MS),
+            lasts: ms(&mut rng, DURATION_MS),
             fault: Fault::Config(Config::EmptyHall(rng.random_range(0..SERVER_HALLS))),
         });
-        self.with(steps)
+        self.with_steps(steps)
     }
 }
 
 impl Schedule {
-    /// The same, and requests end their servers beside it.
+    /// Adds requests that crash servers.
     pub fn with_crashing_requests(self) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ CRASHING_SEED);
         let first: usize = rng.random_range(0..4);
-        let steps = (0..CRASHING).map(|number| Step {
-            at: ms(&mut rng, SPAN_MS),
-            lasts: ms(&mut rng, INSIST_MS),
+        let steps = (0..CRASHING_REQUESTS).map(|number| Step {
+            at: ms(&mut rng, START_MS),
+            lasts: ms(&mut rng, CRASHING_MS),
             fault: Fault::Crashing(first + number),
         });
-        self.with(steps)
+        self.with_steps(steps)
     }
 
-    /// The same, and machines are suspended beside it.
+    /// Adds suspensions of boxes.
     pub fn with_suspensions(self) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ SUSPENDED_SEED);
         let boxes = self.boxes;
-        let steps = (0..SUSPENDED).map(|_| Step {
-            at: ms(&mut rng, SPAN_MS),
+        let steps = (0..SUSPENSIONS).map(|_| Step {
+            at: ms(&mut rng, START_MS),
             lasts: ms(&mut rng, SUSPENDED_MS),
             fault: Fault::Process(rng.random_range(0..boxes), Signal::Suspend),
         });
-        self.with(steps)
+        self.with_steps(steps)
     }
 
-    /// The same, and servers say in answers that they leave or ask for rest, some of the
-    /// former while the store is away.
+    /// Adds servers that announce in answers that they leave or request back-offs, and a
+    /// store outage that begins shortly before the first of the former.
     pub fn with_words(self) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ WORDS_SEED);
         let mut steps: Vec<Step> = Vec::new();
-        for number in 0..SAYING + RESTING {
-            let says = number < SAYING;
-            let fault = match says {
+        for number in 0..LEAVING_SERVERS + BACKING_OFF_SERVERS {
+            let leaves = number < LEAVING_SERVERS;
+            let fault = match leaves {
                 true => Server::Say,
-                false => Server::Rest(ms(&mut rng, REST_MS)),
+                false => Server::Rest(ms(&mut rng, BACKOFF_MS)),
             };
             steps.push(Step {
-                at: ms(&mut rng, SPAN_MS),
-                lasts: ms(&mut rng, if says { LASTS_MS } else { TURNING_MS }),
+                at: ms(&mut rng, START_MS),
+                lasts: ms(&mut rng, if leaves { DURATION_MS } else { REJECTING_MS }),
                 fault: Fault::Server(rng.random_range(SERVER_NUMBERS), fault),
             });
         }
         let down = pick(&mut rng, &[Down::Silent, Down::Busy, Down::Reset]);
         steps.push(Step {
-            at: steps[0].at.saturating_sub(BLIND_BEFORE),
-            lasts: ms(&mut rng, BLIND_MS),
+            at: steps[0].at.saturating_sub(CUT_OFF_LEAD),
+            lasts: ms(&mut rng, CUT_OFF_MS),
             fault: Fault::Store(Store::Down(down)),
         });
-        self.with(steps.into_iter())
+        self.with_steps(steps.into_iter())
     }
 
-    /// The same, and the store goes back to copies of itself: the last time soon after the
-    /// one before, at the moment of a change, and beside a box that is killed.
+    /// Adds restores of the store from backups: the last one soon after the one before. A
+    /// key removal and the kill of a box begin together with the first one.
     pub fn with_returns(self) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed ^ RETURNS_SEED);
         let boxes = self.boxes;
@@ -192,19 +198,19 @@
         for number in 0..RETURNS {
             let at = match steps.last() {
                 Some(last) if number + 1 == RETURNS => {
-                    last.at + last.lasts + ms(&mut rng, AGAIN_MS)
+                    last.at + last.lasts + ms(&mut rng, RETURN_GAP_MS)
                 }
-                _ => ms(&mut rng, SPAN_MS),
+                _ => ms(&mut rng, START_MS),
             };
             let away = pick(&mut rng, &[Some(Down::Reset), Some(Down::Silent), None]);
             steps.push(Step {
                 at,
-                lasts: ms(&mut rng, AWAY_MS),
+                lasts: ms(&mut rng, OUTAGE_MS),
                 fault: Fault::Store(Store::Return(Return {
                     away,
-                    behind: ms(&mut rng, BEHIND_MS),
-                    operator: ms(&mut rng, OPERATOR_MS),
-                    servers: ms(&mut rng, SERVERS_MS),
+                    behind: ms(&mut rng, BACKUP_AGE_MS),
+                    operator: ms(&mut rng, OPERATOR_DELAY_MS),
+                    servers: ms(&mut rng, SERVER_DELAY_MS),
                 })),
             });
         }
@@ -213,23 +219,23 @@
             Fault::Config(Config::Revoke),
             Fault::Process(rng.random_range(0..boxes), Signal::Kill),
         ] {
-            let lasts = ms(&mut rng, LASTS_MS);
+            let lasts = ms(&mut rng, DURATION_MS);
             steps.push(Step {
                 at: first,
                 lasts,
                 fault,
             });
         }
-        self.with(steps.into_iter())
+        self.with_steps(steps.into_iter())
     }
 
-    /// The same with so many boxes, of which its faults touch the first ones.
+    /// Sets the number of boxes; the faults affect only the first ones.
     pub fn with_boxes(self, boxes: usize) -> Self {
         Self { boxes, ..self }
     }
 
-    /// The same with more steps: what the seed decided before stays as it is.
-    fn with(self, more: impl Iterator<Item = Step>) -> Self {
+    /// Adds steps. The faults that the seed determined before stay as they are.
+    fn with_steps(self, more: impl Iterator<Item = Step>) -> Self {
         let mut steps = self.steps;
         steps.extend(more);
         steps.sort_by_key(|step| step.at);
@@ -242,10 +248,10 @@
 }
 
 fn step(rng: &mut ChaCha8Rng, boxes: usize) -> Step {
-    let at = ms(rng, SPAN_MS);
-    let lasts = ms(rng, LASTS_MS);
+    let at = ms(rng, START_MS);
+    let lasts = ms(rng, DURATION_MS);
     let fault = match rng.random_range(0..20) {
-        0..5 => Fault::Link(link(rng, boxes), harm(rng)),
+        0..5 => Fault::Link(link(rng, boxes), impairment(rng)),
         5..10 => Fault::Process(rng.random_range(0..boxes), signal(rng)),
         10..13 => Fault::Store(store(rng)),
         13..16 => Fault::Server(rng.random_range(SERVER_NUMBERS), server(rng)),
@@ -255,18 +261,21 @@
     Step { at, lasts, fault }
 }
 
-/// Cuts a box, or all, off from the store just before a change, for longer than
-/// the bound on keys.
-fn blind(rng: &mut ChaCha8Rng, change: &Step, boxes: usize) -> Step {
-    let harm = pick(rng, &[Harm::Silence, Harm::Cut(Direction::Back)]);
+/// Cuts one box or all boxes off from the store just before a change, for longer than the
+/// bound on removed keys.
+fn cut_off_store(rng: &mut ChaCha8Rng, change: &Step, boxes: usize) -> Step {
+    let impairment = pick(
+        rng,
+        &[Impairment::Silence, Impairment::Cut(Direction::Back)],
+    );
     let fault = match rng.random_range(0..3) {
         0 => Fault::Store(Store::Down(Down::Silent)),
         1 => Fault::Store(Store::Deaf),
-        _ => Fault::Link(Link::Store(rng.random_range(0..boxes)), harm),
+        _ => Fault::Link(Link::Store(rng.random_range(0..boxes)), impairment),
     };
     Step {
-        at: change.at.saturating_sub(BLIND_BEFORE),
-        lasts: ms(rng, BLIND_MS),
+        at: change.at.saturating_sub(CUT_OFF_LEAD),
+        lasts: ms(rng, CUT_OFF_MS),
         fault,
     }
 }
@@ -282,13 +291,13 @@
     }
 }
 
-fn harm(rng: &mut ChaCha8Rng) -> Harm {
+fn impairment(rng: &mut ChaCha8Rng) -> Impairment {
     match rng.random_range(0..5) {
-        0 => Harm::Delay(ms(rng, DELAY_MS)),
-        1 => Harm::Reset,
-        2 => Harm::Cut(Direction::There),
-        3 => Harm::Cut(Direction::Back),
-        _ => Harm::Silence,
+        0 => Impairment::Delay(ms(rng, DELAY_MS)),
+        1 => Impairment::Reset,
+        2 => Impairment::Cut(Direction::There),
+        3 => Impairment::Cut(Direction::Back),
+        _ => Impairment::Silence,
     }
 }
 
--- a/crates/soak/src/sync.rs
+++ b/crates/soak/src/sync.rs
@@ -1,8 +1,8 @@
-//! Locks.
+//! A mutex lock that ignores poisoning.
 
 use std::sync::{Mutex, MutexGuard};
 
-/// Locks a mutex; what a panicking holder left is as good as any.
+/// Locks a mutex, also after a holder panicked: the data is still usable then.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex
         .lock()
--- a/crates/soak/tests/soak/main.rs
+++ b/crates/soak/tests/soak/main.rs
@@ -1,7 +1,7 @@
-//! The parts of the soak, each by itself: what a seed decides, what a way does,
-//! and what rules find in evidence made by hand. That rules find what is wrong
-//! with a real relay is shown by trials (docs/SOAK.md).
+//! Tests of the parts of the soak: what schedule a seed gives, what each impairment of a
+//! proxy does, and what rules find in hand-made evidence. Trials show that the rules find
+//! faults of a real relay (docs/SOAK.md).
 
+mod proxies;
 mod rules;
 mod schedules;
-mod ways;
--- a/crates/soak/tests/soak/schedules.rs
+++ b/crates/soak/tests/soak/schedules.rs
@@ -1,4 +1,4 @@
-//! What a seed decides.
+//! Tests of the schedule that a seed gives.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use tidepier_soak::schedule::{Schedule, Step};
 
 #[test]
-fn a_seed_decides_the_whole_schedule() {
+fn a_seed_determines_the_whole_schedule() {
     for seed in [0, 7, u64::MAX] {
         assert_eq!(Schedule::new(seed), Schedule::new(seed));
     }
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn words_leave_the_other_faults_as_they_are() {
+fn advertisements_leave_the_other_faults_as_they_are() {
     for seed in 0..50 {
         let plain = Schedule::new(seed);
         let more = plain.clone().with_words();
@@ -82,7 +82,7 @@
             named.count()
         };
         assert_eq!((named("server_say"), named("server_rest")), (2, 4));
-        // The seventh is a store that is away while a server says that it leaves.
+        // The seventh is a store outage while a server announces that it leaves.
         assert_eq!(more.steps.len(), plain.steps.len() + 7, "seed {seed}");
         assert!(more.steps.is_sorted_by_key(|step| step.at));
         let mut left = more.steps.iter();
