--- a/crates/relay-standin/src/client.rs
+++ b/crates/relay-standin/src/client.rs
@@ -1,4 +1,4 @@
-//! A client that sends what a test asks for, well-behaved or not.
+//! A client that sends the requests of a test, whether valid or not.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,21 +8,21 @@
 use smol::Timer;
 use tidepier_h1::{Body, Conn, Framing};
 
-use crate::front;
+use crate::http;
 use crate::names;
 
-/// Time for a connection to come up.
-const OPEN_LIMIT: Duration = Duration::from_secs(1);
+/// Time-out for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The body of a call.
 #[derive(Debug, Clone, Default)]
 pub enum Payload {
-    /// None, and no length.
+    /// No body and no length.
     #[default]
     Empty,
-    /// With its length.
+    /// A body with a content length.
     Sized(Vec<u8>),
-    /// In chunks.
+    /// A chunked body.
     Chunked(Vec<Vec<u8>>),
 }
 
@@ -33,13 +33,13 @@
     pub method: String,
     /// Path and query.
     pub target: String,
-    /// All fields but those of the framing.
+    /// All fields except those of the framing.
     pub fields: Vec<(String, String)>,
     /// Body.
     pub payload: Payload,
     /// Pause between the head and the body, and between chunks.
     pub pause: Duration,
-    /// When the client gives up and closes the connection.
+    /// Time-out after which the client gives up and closes the connection.
     pub leave: Duration,
 }
 
@@ -59,10 +59,10 @@
             .with(names::DEADLINE, "4000")
     }
 
-    /// Sets a field, in place of one of the same name.
+    /// Sets a field, replacing one of the same name.
     pub fn with(mut self, name: &str, value: &str) -> Self {
         self.fields
-            .retain(|(told, _)| !told.eq_ignore_ascii_case(name));
+            .retain(|(key, _)| !key.eq_ignore_ascii_case(name));
         self.fields.push((name.into(), value.into()));
         self
     }
@@ -78,13 +78,13 @@
         self
     }
 
-    /// Sets when the client leaves.
+    /// Sets the time-out of the client.
     pub fn leaving(mut self, after: Duration) -> Self {
         self.leave = after;
         self
     }
 
-    /// The pieces that it is sent in.
+    /// The parts that the call is sent in.
     fn pieces(&self) -> Vec<Vec<u8>> {
         let mut head = format!("{} {} HTTP/1.1\r\n", self.method, self.target);
         for (name, value) in &self.fields {
@@ -112,50 +112,50 @@
     }
 }
 
-/// One event of a stream, as it came.
+/// An event of a stream, as received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arrival {
-    /// Its text, up to and with its empty line.
+    /// The text of the event, including the empty line that ends it.
     pub text: String,
-    /// When it was whole, from the sending of the request.
+    /// Time from the sending of the request until the event was complete.
     pub after: Duration,
 }
 
 impl Arrival {
-    /// Its id.
+    /// The id of the event.
     pub fn id(&self) -> Option<u64> {
         let line = self.text.lines().find_map(|line| line.strip_prefix("id:"));
         line?.trim().parse().ok()
     }
 }
 
-/// How a connection stood once an answer was over.
+/// State of a connection after an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// Open.
+    /// The connection is open.
     Open,
-    /// Closed by the peer before the answer was whole.
+    /// The peer closed it before the answer was complete.
     Closed,
-    /// Reset by the peer before the answer was whole.
+    /// The peer reset it before the answer was complete.
     Reset,
-    /// The client left.
+    /// The time-out of the client expired.
     Left,
-    /// What came was no HTTP.
+    /// The received bytes are not valid HTTP.
     Malformed,
 }
 
-/// What came back for a call.
+/// The answer to a call.
 #[derive(Debug, Clone)]
 pub struct Answer {
-    /// Status; 0 if no head came.
+    /// Status; 0 if no head was received.
     pub status: u16,
     /// Fields of the head.
     pub fields: Vec<(String, String)>,
-    /// The body as far as it came.
+    /// The body as far as it was received.
     pub body: Vec<u8>,
-    /// Whether the body came whole.
+    /// Whether the body is complete.
     pub complete: bool,
-    /// How the connection stood afterwards.
+    /// State of the connection afterwards.
     pub end: End,
     /// Time from the sending of the request to the end of the answer.
     pub elapsed: Duration,
@@ -164,25 +164,25 @@
 }
 
 impl Answer {
-    /// The value of a field, by its name in any case.
+    /// The value of a field; the case of the name does not matter.
     pub fn field(&self, name: &str) -> Option<&str> {
         let mut fields = self.fields.iter();
-        let found = fields.find(|(told, _)| told.eq_ignore_ascii_case(name))?;
+        let found = fields.find(|(key, _)| key.eq_ignore_ascii_case(name))?;
         Some(&found.1)
     }
 
-    /// The ids of its events, in order.
+    /// The ids of the events, in order.
     pub fn ids(&self) -> Vec<u64> {
         self.events.iter().filter_map(Arrival::id).collect()
     }
 
-    /// Time to the first event.
+    /// Time from the sending of the request to the first event.
     pub fn first_event(&self) -> Option<Duration> {
         self.events.first().map(|event| event.after)
     }
 
-    /// Splits off the events that the body now has beyond those known.
-    fn scan(&mut self, scanned: &mut usize, after: Duration) {
+    /// Parses the events that the body contains beyond the bytes scanned so far.
+    fn parse_events(&mut self, scanned: &mut usize, after: Duration) {
         while let Some(end) = self.body[*scanned..]
             .windows(2)
             .position(|at| at == b"\n\n")
@@ -205,9 +205,9 @@
     ///
     /// # Errors
     ///
-    /// The peer refused or did not answer within a second.
+    /// The peer refused the connection or did not accept it within a second.
     pub async fn open(address: SocketAddr) -> io::Result<Self> {
-        let conn = Conn::open(address, OPEN_LIMIT, front::UNACKED).await?;
+        let conn = Conn::open(address, CONNECT_TIMEOUT, http::UNACKED_TIMEOUT).await?;
         Ok(Self { conn })
     }
 
@@ -215,15 +215,14 @@
     ///
     /// # Errors
     ///
-    /// The connection did not come up.
+    /// The connection could not be opened.
     pub async fn once(address: SocketAddr, call: &Call) -> io::Result<Answer> {
         let mut client = Self::open(address).await?;
         Ok(client.call(call).await)
     }
 
-    /// Sends a call and reads its answer, both at once. After the call's time
-    /// the answer is what had come; dropping the client then closes the
-    /// connection.
+    /// Sends a call and reads its answer concurrently. After the time-out of the call it
+    /// returns what has been received; dropping the client then closes the connection.
     pub async fn call(&mut self, call: &Call) -> Answer {
         let pieces = call.pieces();
         let writer = self.conn.writer();
@@ -240,7 +239,7 @@
         };
         let answer = self.answer(&call.method, call.leave);
         let (sent, mut answer) = future::zip(send.or(left), answer).await;
-        // A reset that a write has met is a plain end to reads.
+        // If a write fails with a reset, reads only see the end of the connection.
         let reset = sent.is_err_and(|error: io::Error| end_of(&error) == End::Reset);
         if reset && answer.end == End::Closed {
             answer.end = End::Reset;
@@ -248,7 +247,7 @@
         answer
     }
 
-    /// Sends several calls without waiting, then reads their answers in order.
+    /// Sends several calls at once, then reads their answers in order.
     pub async fn pipeline(&mut self, calls: &[Call]) -> Vec<Answer> {
         let mut bytes: Vec<u8> = Vec::new();
         for call in calls {
@@ -273,12 +272,12 @@
         self.conn.writer().write_all(bytes).await
     }
 
-    /// Ends the sending side; answers can still be read.
+    /// Shuts down the sending side; answers can still be read.
     pub fn half_close(&self) {
         self.conn.writer().finish();
     }
 
-    /// Leaves with a reset.
+    /// Closes the connection with a reset.
     ///
     /// # Errors
     ///
@@ -287,12 +286,12 @@
         self.conn.writer().reset_on_close()
     }
 
-    /// Whether the connection is open and nothing unasked has come.
+    /// Whether the connection is open and no unexpected bytes have arrived.
     pub fn rests(&mut self) -> bool {
         self.conn.rests()
     }
 
-    /// Reads the answer to a request of `method` for up to `limit`.
+    /// Reads the answer to a request with `method`, for at most `limit`.
     pub async fn answer(&mut self, method: &str, limit: Duration) -> Answer {
         let start = Instant::now();
         let mut answer = Answer {
@@ -317,7 +316,7 @@
 }
 
 async fn read(conn: &mut Conn, answer: &mut Answer, method: &str, start: Instant) -> End {
-    let head = match conn.head(front::HEAD_BYTES).await {
+    let head = match conn.head(http::HEAD_BYTES_MAX).await {
         Ok(Some(head)) => head,
         Ok(None) => return End::Closed,
         Err(tidepier_h1::Malformed::Lost(error)) => return end_of(&error),
@@ -335,7 +334,7 @@
     let mut scanned = 0;
     loop {
         match body.read(conn, &mut answer.body).await {
-            Ok(true) if events => answer.scan(&mut scanned, start.elapsed()),
+            Ok(true) if events => answer.parse_events(&mut scanned, start.elapsed()),
             Ok(true) => {}
             Ok(false) => break,
             Err(error) => return end_of(&error),
@@ -349,7 +348,7 @@
     match error.kind() {
         io::ErrorKind::UnexpectedEof => End::Closed,
         io::ErrorKind::InvalidData => End::Malformed,
-        // The peer closed before it was written to; it said no more than that.
+        // The peer closed the connection before the write; there is no sign of a reset.
         io::ErrorKind::BrokenPipe => End::Closed,
         _ => End::Reset,
     }
--- a/crates/relay-standin/src/front.rs
+++ b/crates/relay-standin/src/http.rs
@@ -1,5 +1,5 @@
-//! What the listening stand-ins share: a port whose connections end with it,
-//! and the writing of answers.
+//! What the listening stand-ins share: accepting connections, reading bodies and encoding
+//! answers.
 
 use std::future::Future;
 use std::io;
@@ -9,19 +9,19 @@
 use smol::Task;
 use tidepier_h1::{Body, Conn, Framing, Head, Listener};
 
-/// Time after which unacknowledged data ends a connection; on loopback nothing
-/// comes near it.
-pub(crate) const UNACKED: Duration = Duration::from_secs(30);
-/// Largest head that a stand-in reads, in bytes; four times what sites allow.
-pub(crate) const HEAD_BYTES: usize = 64 << 10;
+/// Time after which unacknowledged data ends a connection; far more than loopback ever
+/// needs.
+pub(crate) const UNACKED_TIMEOUT: Duration = Duration::from_secs(30);
+/// Largest head that a stand-in reads, in bytes: four times what sites allow.
+pub(crate) const HEAD_BYTES_MAX: usize = 64 << 10;
 
-/// Any free port of loopback.
-pub(crate) fn anywhere() -> SocketAddr {
+/// A loopback address with a port that the system picks.
+pub(crate) fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Serves connections at `address` until the returned task is dropped, which
-/// ends them all.
+/// Serves connections at `address` until the returned task is dropped, which closes the
+/// port and all connections.
 pub(crate) fn listen<S, F>(address: SocketAddr, serve: S) -> io::Result<(SocketAddr, Task<()>)>
 where
     S: Fn(Conn) -> F + Send + 'static,
@@ -33,7 +33,7 @@
         let mut open: Vec<Task<()>> = Vec::new();
         loop {
             open.retain(|task| !task.is_finished());
-            match listener.accept(UNACKED).await {
+            match listener.accept(UNACKED_TIMEOUT).await {
                 Ok(conn) => open.push(smol::spawn(serve(conn))),
                 Err(error) => log::warn!("no connection accepted at {bound}: {error}"),
             }
@@ -42,7 +42,7 @@
     Ok((bound, task))
 }
 
-/// Reads the body that follows a request's head.
+/// Reads the body that follows the head of a request.
 pub(crate) async fn body(conn: &mut Conn, head: &Head) -> io::Result<Vec<u8>> {
     let framing = Framing::of_request(head).map_err(io::Error::other)?;
     let mut body = Body::new(framing);
@@ -51,7 +51,7 @@
     Ok(out)
 }
 
-/// The head of an answer, up to and without its empty line.
+/// Encodes the head of an answer, without the empty line that ends it.
 pub(crate) fn head(status: u16, fields: &[(&str, &str)]) -> String {
     let mut text = format!("HTTP/1.1 {status} {}\r\n", reason(status));
     for (name, value) in fields {
@@ -60,7 +60,7 @@
     text
 }
 
-/// A whole answer with a length.
+/// Encodes a complete answer with a content length.
 pub(crate) fn answer(status: u16, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let head = head(status, fields);
     let mut bytes = format!("{head}Content-Length: {}\r\n\r\n", body.len()).into_bytes();
--- a/crates/relay-standin/src/lib.rs
+++ b/crates/relay-standin/src/lib.rs
@@ -1,18 +1,17 @@
-//! Stand-ins of everything around a relay, for its tests: the platform's
-//! store, backend servers and clients.
+//! Stand-ins for everything around a relay, for its tests: the store of the platform,
+//! backend servers and clients.
 //!
-//! All of them run inside the test's process on loopback ports that the system
-//! picks. Each has switches for faults, which may be set at any time, and keeps
-//! a record of what it saw, so that a test asserts on what reached a socket and
-//! not on what the relay says of itself.
+//! All of them run inside the process of the test, on loopback ports that the system picks.
+//! Each has switches for faults that may be set at any time, and records what reaches it,
+//! so that a test can assert on what reached a socket instead of what the relay reports.
 //!
 //! Invariants:
 //!
 //! * Dropping a stand-in closes its port and its connections.
-//! * A stand-in never repairs what a fault broke: a swallowed call stays
+//! * A stand-in never undoes the effects of a fault: a call that it did not answer stays
 //!   unanswered on its connection.
-//! * The wire's names stand in [`names`], or where the one type that has them
-//!   is written.
+//! * Names on the wire are defined in [`names`], or where the only type that has them is
+//!   encoded.
 //!
 //! ```
 //! use std::time::Duration;
@@ -28,7 +27,7 @@
 //! let events = Some(Events { count: 8, pause: Duration::from_millis(5) });
 //! let server = site.server(Settings { events, ..Settings::default() })?;
 //! // A relay would be started here, with `site.store.address()` in its
-//! // settings, and the call below sent to its front.
+//! // settings, and the call below sent to its address for clients.
 //! let front = server.address();
 //! server.fault(Fault::CutEvent, 1);
 //! let call = Call::new("POST", HOST, "/chat/x", "attempt-1").body(b"question");
@@ -41,7 +40,7 @@
 //! ```
 
 pub mod client;
-mod front;
+mod http;
 pub mod names;
 pub mod server;
 pub mod site;
--- a/crates/relay-standin/src/server/desk.rs
+++ b/crates/relay-standin/src/server/admission.rs
@@ -1,4 +1,4 @@
-//! The slots of a server and the queue before them.
+//! The slots of a server and the queue for them.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -9,28 +9,28 @@
 #[derive(Debug, Default)]
 struct State {
     running: usize,
-    /// Urgency and order of arrival of those that wait.
+    /// Priority and order of arrival of the waiting requests.
     waiting: BTreeSet<(u8, u64)>,
-    arrived: u64,
+    arrivals: u64,
 }
 
 #[derive(Debug)]
-pub(crate) struct Desk {
+pub(crate) struct Admission {
     state: Mutex<State>,
     freed: Event,
     slots: usize,
     queue: usize,
 }
 
-/// A place in the queue and then a slot; given back when dropped.
+/// A position in the queue and then a slot; dropping it frees either.
 #[derive(Debug)]
 pub(crate) struct Ticket {
-    desk: Arc<Desk>,
-    at: (u8, u64),
+    owner: Arc<Admission>,
+    position: (u8, u64),
     admitted: bool,
 }
 
-impl Desk {
+impl Admission {
     pub(crate) fn new(slots: usize, queue: usize) -> Self {
         Self {
             state: Mutex::default(),
@@ -56,39 +56,39 @@
     }
 
     pub(crate) fn is_full(&self) -> bool {
-        self.fills(&self.lock())
+        self.is_full_with(&self.lock())
     }
 
-    /// Counts those that have come but not yet got their slot as well: several
-    /// may come before the first one is admitted.
-    fn fills(&self, state: &State) -> bool {
+    /// Requests that arrived but have no slot yet count as well: several may arrive before
+    /// the first one is admitted.
+    fn is_full_with(&self, state: &State) -> bool {
         state.running + state.waiting.len() >= self.slots + self.queue
     }
 
-    /// Queues up; `None` when the queue is full.
+    /// Joins the queue; `None` if it is full.
     pub(crate) fn ticket(self: &Arc<Self>, priority: u8) -> Option<Ticket> {
         let mut state = self.lock();
-        if self.fills(&state) {
+        if self.is_full_with(&state) {
             return None;
         }
-        state.arrived += 1;
-        let at = (priority, state.arrived);
-        state.waiting.insert(at);
+        state.arrivals += 1;
+        let position = (priority, state.arrivals);
+        state.waiting.insert(position);
         Some(Ticket {
-            desk: self.clone(),
-            at,
+            owner: self.clone(),
+            position,
             admitted: false,
         })
     }
 }
 
 impl Ticket {
-    /// Waits for a slot; the most urgent get theirs first.
-    pub(crate) async fn admitted(&mut self) {
+    /// Waits for a slot; the most urgent request gets the next one.
+    pub(crate) async fn wait_for_slot(&mut self) {
         loop {
-            let freed = self.desk.freed.listen();
+            let freed = self.owner.freed.listen();
             if self.admit() {
-                self.desk.freed.notify(usize::MAX);
+                self.owner.freed.notify(usize::MAX);
                 return;
             }
             freed.await;
@@ -96,9 +96,9 @@
     }
 
     fn admit(&mut self) -> bool {
-        let mut state = self.desk.lock();
-        if state.running < self.desk.slots && state.waiting.first() == Some(&self.at) {
-            state.waiting.remove(&self.at);
+        let mut state = self.owner.lock();
+        if state.running < self.owner.slots && state.waiting.first() == Some(&self.position) {
+            state.waiting.remove(&self.position);
             state.running += 1;
             self.admitted = true;
         }
@@ -108,13 +108,13 @@
 
 impl Drop for Ticket {
     fn drop(&mut self) {
-        let mut state = self.desk.lock();
+        let mut state = self.owner.lock();
         if self.admitted {
             state.running -= 1;
         } else {
-            state.waiting.remove(&self.at);
+            state.waiting.remove(&self.position);
         }
         drop(state);
-        self.desk.freed.notify(usize::MAX);
+        self.owner.freed.notify(usize::MAX);
     }
 }
--- a/crates/relay-standin/src/server/work.rs
+++ b/crates/relay-standin/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! What a server does on one connection.
+//! Handles one connection of a server.
 
 use std::future::Future;
 use std::io;
@@ -12,56 +12,59 @@
 use tidepier_h1::{Conn, Head};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::desk::Ticket;
+use super::admission::Ticket;
 use super::{Fault, Outcome, Run, Shared};
-use crate::front;
+use crate::http;
 use crate::names;
 
-/// Urgency of a request that gives none.
-const PRIORITY_USUAL: u8 = 5;
-/// Wait that a busy server asks for, in seconds.
+/// Priority of a request that names none.
+const DEFAULT_PRIORITY: u8 = 5;
+/// Back-off that a busy server requests, in seconds.
 const RETRY_AFTER_S: &str = "0.2";
 
-/// What becomes of a connection.
+/// What happens to the connection after a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Next {
+pub(super) enum Disposition {
     Keep,
     Close,
     Reset,
 }
 
-/// Counts an open connection.
-struct Open(Arc<Shared>);
+/// Counts an open connection while it exists.
+struct OpenGuard(Arc<Shared>);
 
-impl Drop for Open {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
-        self.0.lock().open -= 1;
+        self.0.lock().connections_open -= 1;
     }
 }
 
 pub(super) async fn serve(shared: Arc<Shared>, conn: Conn) {
-    let (number, crowded) = {
+    let (number, over_limit) = {
         let mut state = shared.lock();
-        state.opened += 1;
-        state.open += 1;
-        (state.opened - 1, state.open > shared.settings.connections)
+        state.connections_opened += 1;
+        state.connections_open += 1;
+        (
+            state.connections_opened - 1,
+            state.connections_open > shared.settings.connections,
+        )
     };
-    let _open = Open(shared.clone());
-    let mut line = Line {
+    let _open_guard = OpenGuard(shared.clone());
+    let mut connection = Connection {
         shared,
         conn,
         number,
         extra: Vec::new(),
         ticket: None,
     };
-    let next = if crowded {
-        Ok(Next::Reset)
+    let next = if over_limit {
+        Ok(Disposition::Reset)
     } else {
-        line.serve().await
+        connection.serve().await
     };
     match next {
-        Ok(Next::Reset) => {
-            if let Err(error) = line.conn.writer().reset_on_close() {
+        Ok(Disposition::Reset) => {
+            if let Err(error) = connection.conn.writer().reset_on_close() {
                 log::debug!("already closed: {error}");
             }
         }
@@ -70,20 +73,20 @@
     }
 }
 
-/// One connection.
-pub(super) struct Line {
+/// A connection to the server.
+pub(super) struct Connection {
     pub(super) shared: Arc<Shared>,
     pub(super) conn: Conn,
     number: usize,
-    /// A second answer that is due when the next request comes.
+    /// A second answer, due when the next request arrives.
     pub(super) extra: Vec<u8>,
-    /// The slot of the request that is worked on.
+    /// The slot of the request that is being executed.
     ticket: Option<Ticket>,
 }
 
-impl Drop for Line {
-    /// A crash resets the connections: an answer that ends with its connection would
-    /// look whole otherwise.
+impl Drop for Connection {
+    /// A crash resets its connections: an answer that ends with its connection would
+    /// otherwise look complete.
     fn drop(&mut self) {
         if self.shared.lock().crashed.is_none() {
             return;
@@ -94,27 +97,27 @@
     }
 }
 
-impl Line {
-    async fn serve(&mut self) -> io::Result<Next> {
+impl Connection {
+    async fn serve(&mut self) -> io::Result<Disposition> {
         loop {
-            self.lit().await;
+            self.wait_while_dark().await;
             let Some(head) = self.head().await? else {
-                return Ok(Next::Close);
+                return Ok(Disposition::Close);
             };
-            self.lit().await;
+            self.wait_while_dark().await;
             let extra = std::mem::take(&mut self.extra);
             self.write(&extra).await?;
-            let next = self.one(&head).await?;
-            if next != Next::Keep || head.closes() {
+            let next = self.handle(&head).await?;
+            if next != Disposition::Keep || head.closes() {
                 return Ok(next);
             }
         }
     }
 
     /// Waits while the server is dark.
-    async fn lit(&self) {
+    async fn wait_while_dark(&self) {
         loop {
-            let lit = self.shared.lit.listen();
+            let lit = self.shared.dark_ended.listen();
             if !self.shared.lock().dark {
                 return;
             }
@@ -122,29 +125,29 @@
         }
     }
 
-    /// The next head, unless the connection rests for too long.
+    /// The next head; `None` if the connection was idle for too long.
     async fn head(&mut self) -> io::Result<Option<Head>> {
         let idle = self.shared.lock().idle_close;
         let head = async {
-            let head = self.conn.head(front::HEAD_BYTES).await;
+            let head = self.conn.head(http::HEAD_BYTES_MAX).await;
             head.map_err(io::Error::other)
         };
-        let rested = async {
+        let timed_out = async {
             match idle {
                 Some(idle) => Timer::after(idle).await,
                 None => std::future::pending().await,
             };
             Ok(None)
         };
-        head.or(rested).await
+        head.or(timed_out).await
     }
 
     pub(super) async fn write(&self, bytes: &[u8]) -> io::Result<()> {
-        self.lit().await;
+        self.wait_while_dark().await;
         self.conn.writer().write_all(bytes).await
     }
 
-    async fn one(&mut self, head: &Head) -> io::Result<Next> {
+    async fn handle(&mut self, head: &Head) -> io::Result<Disposition> {
         let path = head.target().split('?').next().unwrap_or("");
         let probe = if head.method() != "GET" {
             None
@@ -152,8 +155,8 @@
             Some(self.health())
         } else if path == names::REPORT {
             Some(self.report())
-        } else if path == names::KEPT {
-            Some(self.kept())
+        } else if path == names::CACHE_LIST {
+            Some(self.cache_list())
         } else {
             None
         };
@@ -161,17 +164,17 @@
             return self.request(head).await;
         };
         self.shared.lock().probes += 1;
-        front::body(&mut self.conn, head).await?;
+        http::body(&mut self.conn, head).await?;
         self.write(&answer).await?;
-        Ok(Next::Keep)
+        Ok(Disposition::Keep)
     }
 
     pub(super) fn load(&self) -> String {
-        let load = self.shared.desk.load();
+        let load = self.shared.admission.load();
         format!("{},{},{}", load.running, load.waiting, load.slots)
     }
 
-    /// The field by which each answer of a server that leaves says so.
+    /// The field by which each answer of a leaving server announces that.
     pub(super) fn leaving(&self) -> Option<(&'static str, &'static str)> {
         let leaving = self.shared.lock().leaving;
         leaving.then_some((names::LEAVING, "1"))
@@ -182,52 +185,52 @@
         let leaving = self.leaving();
         let mut fields = vec![(names::INSTANCE, &*self.shared.settings.id)];
         fields.extend(leaving);
-        let busy = self.shared.desk.is_full();
-        if busy || self.shared.lock().unwell || leaving.is_some() {
+        let busy = self.shared.admission.is_full();
+        if busy || self.shared.lock().unhealthy || leaving.is_some() {
             fields.extend(busy.then_some((names::NOT_EXECUTED, "1")));
-            return front::answer(503, &fields, b"");
+            return http::answer(503, &fields, b"");
         }
         fields.push((names::LOAD, &load));
-        front::answer(200, &fields, b"")
+        http::answer(200, &fields, b"")
     }
 
     fn report(&self) -> Vec<u8> {
-        let load = self.shared.desk.load();
+        let load = self.shared.admission.load();
         let runs = self.shared.lock().runs.len();
         let report = json!({
             "phase": "mixed", "utilization": false, "sequence": runs, "handles": 0,
             "models": [{ "name": "m", "version": 1, "adapters": [] }],
             "queued": load.waiting, "active": load.running, "kv_used": 0, "kv_total": 90_000,
         });
-        self.listed(report.to_string().as_bytes())
+        self.json_answer(report.to_string().as_bytes())
     }
 
-    /// The parts of prompts that it keeps, each as a row.
-    fn kept(&self) -> Vec<u8> {
+    /// The cached prompt parts, each as a row.
+    fn cache_list(&self) -> Vec<u8> {
         let state = self.shared.lock();
         let row = |(id, tokens): (&u64, &u32)| json!(["", format!("{id:x}"), tokens, "m"]);
-        let held: Vec<_> = state.kept.iter().map(row).collect();
+        let held: Vec<_> = state.cached_parts.iter().map(row).collect();
         let list = json!({ "epoch": 1, "next_token": held.len(), "held": held });
         let list = list.to_string().into_bytes();
-        let body = state.told_kept.clone().unwrap_or(list);
+        let body = state.cache_list_override.clone().unwrap_or(list);
         drop(state);
-        self.listed(&body)
+        self.json_answer(&body)
     }
 
-    /// An answer in JSON to what is no request of a client.
-    fn listed(&self, body: &[u8]) -> Vec<u8> {
+    /// An answer in JSON to something other than a client's request.
+    fn json_answer(&self, body: &[u8]) -> Vec<u8> {
         let mut fields = vec![("Content-Type", "application/json")];
         fields.extend(self.leaving());
-        front::answer(200, &fields, body)
+        http::answer(200, &fields, body)
     }
 
-    /// Takes a request in: its record, and its fault if one is due.
-    fn arrive(&self, head: &Head) -> (usize, Option<Fault>) {
+    /// Records a request; returns its index and its fault, if one is due.
+    fn record_arrival(&self, head: &Head) -> (usize, Option<Fault>) {
         let owned = |field: tidepier_h1::Field<'_>| (field.name.into(), field.text().into());
         let attempt = head.text(names::ATTEMPT).unwrap_or("");
         let mut state = self.shared.lock();
-        let at = state.runs.len();
-        let signed = format!("{}/{attempt}/{at}", self.shared.settings.id);
+        let index = state.runs.len();
+        let signed = format!("{}/{attempt}/{index}", self.shared.settings.id);
         state.runs.push(Run {
             attempt: attempt.into(),
             method: head.method().into(),
@@ -239,11 +242,11 @@
             closed: None,
             outcome: Outcome::Waiting,
             ended: None,
-            seal: format!("{:016x}.{at}", xxh3_64(signed.as_bytes())),
-            prefilled: 0,
+            seal: format!("{:016x}.{index}", xxh3_64(signed.as_bytes())),
+            prefill_tokens: 0,
             made: Vec::new(),
-            said_leaving: None,
-            said_rest: None,
+            leaving_announced: None,
+            backoff_requested: None,
         });
         let fault = match &mut state.fault {
             Some((fault, count)) if *count > 0 => {
@@ -252,95 +255,102 @@
             }
             _ => None,
         };
-        (at, fault)
+        (index, fault)
     }
 
-    pub(super) fn run<T>(&self, at: usize, change: impl FnOnce(&mut Run) -> T) -> T {
-        change(&mut self.shared.lock().runs[at])
+    pub(super) fn run<T>(&self, index: usize, change: impl FnOnce(&mut Run) -> T) -> T {
+        change(&mut self.shared.lock().runs[index])
     }
 
-    /// Records what became of a request and frees its slot.
-    pub(super) fn end(&mut self, at: usize, outcome: Outcome) {
-        self.run(at, |run| {
+    /// Records the outcome of a request and frees its slot.
+    pub(super) fn record_end(&mut self, index: usize, outcome: Outcome) {
+        self.run(index, |run| {
             run.outcome = outcome;
             run.ended = (outcome != Outcome::Running).then(Instant::now);
         });
         self.ticket = None;
     }
 
-    async fn request(&mut self, head: &Head) -> io::Result<Next> {
-        let (at, fault) = self.arrive(head);
+    async fn request(&mut self, head: &Head) -> io::Result<Disposition> {
+        let (index, fault) = self.record_arrival(head);
         if fault == Some(Fault::Early) {
-            return self.early(at, head).await;
+            return self.answer_early(index, head).await;
         }
-        let body = front::body(&mut self.conn, head).await?;
-        let ends = self.shared.ends_on(&body);
-        self.run(at, |run| run.body = Some(body));
+        let body = http::body(&mut self.conn, head).await?;
+        let crashes = self.shared.crashes_on(&body);
+        self.run(index, |run| run.body = Some(body));
         let id = self.shared.settings.id.clone();
         if head.text(names::ATTEMPT).is_none() {
-            return self.refuse(at, 400, &[(names::NOT_EXECUTED, "1")]).await;
+            return self.refuse(index, 400, &[(names::NOT_EXECUTED, "1")]).await;
         }
         if head.text(names::TARGET).is_some_and(|target| target != id) {
-            return self.refuse(at, 421, &[(names::INSTANCE, &id)]).await;
+            return self.refuse(index, 421, &[(names::INSTANCE, &id)]).await;
         }
         match fault {
-            Some(Fault::Shed) => return self.refuse(at, 503, &[(names::NOT_EXECUTED, "1")]).await,
+            Some(Fault::Shed) => {
+                return self.refuse(index, 503, &[(names::NOT_EXECUTED, "1")]).await
+            }
             Some(Fault::Busy) => {
                 let retry = (names::RETRY_AFTER, RETRY_AFTER_S);
                 return self
-                    .refuse(at, 429, &[(names::NOT_EXECUTED, "1"), retry])
+                    .refuse(index, 429, &[(names::NOT_EXECUTED, "1"), retry])
                     .await;
             }
             Some(Fault::Reset) => {
-                self.end(at, Outcome::Refused(0));
-                return Ok(Next::Reset);
+                self.record_end(index, Outcome::Refused(0));
+                return Ok(Disposition::Reset);
             }
             _ => {}
         }
-        let priority = number(head, names::PRIORITY).map_or(PRIORITY_USUAL, |told| told as u8);
-        let Some(mut ticket) = self.shared.desk.ticket(priority) else {
-            return self.refuse(at, 503, &[(names::NOT_EXECUTED, "1")]).await;
+        let priority =
+            parse_number(head, names::PRIORITY).map_or(DEFAULT_PRIORITY, |value| value as u8);
+        let Some(mut ticket) = self.shared.admission.ticket(priority) else {
+            return self.refuse(index, 503, &[(names::NOT_EXECUTED, "1")]).await;
         };
-        let arrived = self.run(at, |run| run.arrived);
-        let deadline = number(head, names::DEADLINE).map(|ms| arrived + Duration::from_millis(ms));
-        match self.watched(at, until(deadline, ticket.admitted())).await {
+        let arrived = self.run(index, |run| run.arrived);
+        let deadline =
+            parse_number(head, names::DEADLINE).map(|ms| arrived + Duration::from_millis(ms));
+        match self
+            .watched(index, finish_before(deadline, ticket.wait_for_slot()))
+            .await
+        {
             None => {
-                self.end(at, Outcome::Refused(0));
-                return Ok(Next::Close);
+                self.record_end(index, Outcome::Refused(0));
+                return Ok(Disposition::Close);
             }
-            Some(false) => return self.refuse(at, 503, &[(names::NOT_EXECUTED, "1")]).await,
+            Some(false) => return self.refuse(index, 503, &[(names::NOT_EXECUTED, "1")]).await,
             Some(true) => {
-                self.end(at, Outcome::Running);
+                self.record_end(index, Outcome::Running);
                 self.ticket = Some(ticket);
             }
         }
-        let time = self.cost(at, head);
+        let time = self.work_time(index, head);
         let worked = async {
             Timer::after(time).await;
             if fault == Some(Fault::Hang) {
                 std::future::pending::<()>().await;
             }
         };
-        match self.watched(at, until(deadline, worked)).await {
+        match self.watched(index, finish_before(deadline, worked)).await {
             None => {
-                self.end(at, Outcome::Left);
-                Ok(Next::Close)
+                self.record_end(index, Outcome::Left);
+                Ok(Disposition::Close)
             }
-            Some(false) => self.failed(at, 504).await,
-            Some(true) if ends => {
+            Some(false) => self.answer_failure(index, 504).await,
+            Some(true) if crashes => {
                 self.shared.crash();
-                // The crash ends this connection too.
+                // The crash ends this connection as well.
                 std::future::pending().await
             }
-            Some(true) => self.done(at, head, fault, deadline).await,
+            Some(true) => self.answer_executed(index, head, fault, deadline).await,
         }
     }
 
-    /// Waits for `work` while watching the connection; `None` if it closed and
-    /// the server drops what nobody waits for.
+    /// Waits for `work` while watching the connection; `None` if it closed and the server
+    /// stops requests of closed connections.
     pub(super) async fn watched<T>(
         &mut self,
-        at: usize,
+        index: usize,
         work: impl Future<Output = T>,
     ) -> Option<T> {
         let mut work = std::pin::pin!(work);
@@ -353,36 +363,39 @@
         if let Some(done) = working.or(gone).await {
             return Some(done);
         }
-        self.run(at, |run| run.closed = Some(Instant::now()));
+        self.run(index, |run| run.closed = Some(Instant::now()));
         if self.shared.settings.drops {
             return None;
         }
         Some(work.await)
     }
 
-    /// The time that the work takes; keeps the parts of the prompt.
-    fn cost(&self, at: usize, head: &Head) -> Duration {
+    /// The time that the work takes. Adds the parts of the prompt to the cache.
+    fn work_time(&self, index: usize, head: &Head) -> Duration {
         let mut state = self.shared.lock();
-        let parts = head.text(names::PROMPT).map_or(Vec::new(), parts);
+        let parts = head.text(names::PROMPT).map_or(Vec::new(), parse_parts);
         let kept = parts
             .iter()
-            .take_while(|part| state.kept.contains_key(&part.id));
+            .take_while(|part| state.cached_parts.contains_key(&part.id));
         let kept = kept.count();
-        let prefilled = parts[kept..]
+        let prefill_tokens = parts[kept..]
             .iter()
             .map(|part| u64::from(part.tokens))
             .sum();
         let read = parts.iter().map(|part| (part.id, part.tokens));
-        state.kept.extend(read);
-        state.runs[at].prefilled = prefilled;
-        let prefill = self.shared.settings.prefill.as_secs_f64() * prefilled as f64;
+        state.cached_parts.extend(read);
+        state.runs[index].prefill_tokens = prefill_tokens;
+        let prefill = self.shared.settings.prefill.as_secs_f64() * prefill_tokens as f64;
         let work = self.shared.settings.work.as_secs_f64() + prefill;
         Duration::from_secs_f64(work * state.slow)
     }
 }
 
-/// Waits for `work` up to `deadline`; whether it was done.
-pub(super) async fn until(deadline: Option<Instant>, work: impl Future<Output = ()>) -> bool {
+/// Waits for `work` until `deadline`; returns whether it finished in time.
+pub(super) async fn finish_before(
+    deadline: Option<Instant>,
+    work: impl Future<Output = ()>,
+) -> bool {
     let over = async {
         match deadline {
             Some(deadline) => Timer::at(deadline).await,
@@ -397,11 +410,11 @@
     work.or(over).await
 }
 
-pub(super) fn number(head: &Head, name: &str) -> Option<u64> {
+pub(super) fn parse_number(head: &Head, name: &str) -> Option<u64> {
     head.text(name)?.parse().ok()
 }
 
-fn parts(text: &str) -> Vec<Part> {
+fn parse_parts(text: &str) -> Vec<Part> {
     let part = |part: &str| {
         let (id, tokens) = part.trim().split_once(':')?;
         Some(Part {
--- a/crates/relay-standin/src/server/mod.rs
+++ b/crates/relay-standin/src/server/mod.rs
@@ -1,12 +1,12 @@
-//! A backend server.
+//! A stand-in for a backend server.
 //!
-//! Every request that reaches it is kept as a [`Run`], also one that it
-//! refuses. An answer's bytes follow from the request alone ([`Run::text`]), so
-//! that a stream continued elsewhere can be compared with one that was not.
+//! Every request that reaches it is recorded as a [`Run`], also one that it refuses. The
+//! bytes of an answer depend on the request alone ([`Run::text`]), so that a stream that is
+//! continued at another server can be compared with one that was not.
 
+mod admission;
 mod answer;
-mod desk;
-mod work;
+mod connection;
 
 use std::collections::HashMap;
 use std::io;
@@ -17,10 +17,10 @@
 use event_listener::Event;
 use smol::Task;
 
-use crate::front;
-use desk::Desk;
+use crate::http;
+use admission::Admission;
 
-/// What a server is and how long it works.
+/// The identity of a server and the time that its work takes.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// Its id.
@@ -29,34 +29,34 @@
     pub service: String,
     /// Its data hall.
     pub hall: String,
-    /// Requests that it works on at once.
+    /// Requests that it processes concurrently.
     pub slots: usize,
-    /// Requests that wait for a slot; more get 503.
+    /// Length of the queue; further requests get 503.
     pub queue: usize,
-    /// Connections that it takes; more are reset.
+    /// Bound on its connections; further ones are reset.
     pub connections: usize,
     /// Path of its health check.
     pub health_path: String,
-    /// Work per request, or before the first event.
+    /// Time per request, or until the first event.
     pub work: Duration,
-    /// Further work per token of the prompt that is not kept here.
+    /// Additional time per token of the prompt that is not cached.
     pub prefill: Duration,
-    /// Size of its answers' bodies, in bytes; none for a stream.
+    /// Size of the bodies of its answers, in bytes; does not apply to streams.
     pub answer_bytes: usize,
-    /// Present when it answers with events.
+    /// Set if it answers with events.
     pub events: Option<Events>,
-    /// Whether it reports its load with its answers.
-    pub tells_load: bool,
-    /// Whether it drops a request whose connection closes.
+    /// Whether its answers report its load.
+    pub reports_load: bool,
+    /// Whether it stops a request whose connection closes.
     pub drops: bool,
 }
 
 /// The events of a stream.
 #[derive(Debug, Clone, Copy)]
 pub struct Events {
-    /// How many.
+    /// Number of events.
     pub count: u64,
-    /// Pause between two.
+    /// Pause between two events.
     pub pause: Duration,
 }
 
@@ -74,66 +74,66 @@
             prefill: Duration::ZERO,
             answer_bytes: 64,
             events: None,
-            tells_load: true,
+            reports_load: true,
             drops: true,
         }
     }
 }
 
-/// What goes wrong with one request.
+/// A fault in the handling of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// 503 and not run.
+    /// 503 without execution.
     Shed,
-    /// 429 and not run.
+    /// 429 without execution.
     Busy,
-    /// Run, and failed with 500.
+    /// Executed, then 500.
     Failure,
-    /// Run, and never answered.
+    /// Executed, but never answered.
     Hang,
-    /// Read, not run, and the connection reset.
+    /// Read but not executed; the connection is reset.
     Reset,
-    /// Run to its end, and the connection reset before the answer.
+    /// Executed completely; the connection is reset before the answer.
     LostAnswer,
-    /// Run, and answered with bytes that are no answer.
+    /// Executed; the answer is not valid HTTP.
     Garbage,
-    /// A second answer follows the answer.
+    /// A second answer follows directly after the answer.
     Extra,
-    /// A second answer comes when the next request is sent.
+    /// A second answer is sent when the next request arrives.
     LateExtra,
-    /// The answer ends with its connection.
+    /// The answer has no length and ends with its connection.
     Unframed,
-    /// The answer comes before the body is read.
+    /// The answer is sent before the body is read.
     Early,
-    /// The connection closes within an event, half way through a stream.
+    /// The connection closes in the middle of an event, half-way through a stream.
     CutEvent,
-    /// The connection closes half way through the answer.
+    /// The connection closes half-way through the answer.
     BreakOff,
-    /// The answer's connection ends with it, as its head says.
+    /// The connection closes after the answer, as its head announces.
     Close,
 }
 
-/// What has become of a request.
+/// The state or outcome of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// It waits for a slot.
     Waiting,
     /// It was refused with this status, or with a reset (0).
     Refused(u16),
-    /// It is worked on.
+    /// It is being executed.
     Running,
-    /// It ran to its end.
+    /// It was executed completely.
     Finished,
-    /// Work stopped half way, by a fault or at the deadline.
+    /// Execution stopped part-way, by a fault or at the deadline.
     Stopped,
-    /// Its connection closed before its end.
+    /// Its connection closed before execution ended.
     Left,
 }
 
-/// One request that reached the server.
+/// The record of a request that reached the server.
 #[derive(Debug, Clone)]
 pub struct Run {
-    /// The client's id of the attempt.
+    /// The attempt id that the request names.
     pub attempt: String,
     /// Method.
     pub method: String,
@@ -141,62 +141,62 @@
     pub target: String,
     /// All fields of the head.
     pub fields: Vec<(String, String)>,
-    /// When the head had arrived.
+    /// When the head was received.
     pub arrived: Instant,
-    /// The body, once it was read whole.
+    /// The body, once it was read completely.
     pub body: Option<Vec<u8>>,
-    /// The connection it came over, counted from 0.
+    /// Number of the connection that it arrived on, counted from 0.
     pub connection: usize,
-    /// When the connection was seen to close during it.
+    /// When the connection was seen to close during the request.
     pub closed: Option<Instant>,
-    /// What has become of it.
+    /// Its state or outcome.
     pub outcome: Outcome,
-    /// When it no longer counted towards the server's load.
+    /// When it stopped counting towards the load of the server.
     pub ended: Option<Instant>,
-    /// The signature under its answer.
+    /// The signature in its answer.
     pub seal: String,
-    /// Tokens of the prompt that were not kept here.
-    pub prefilled: u64,
-    /// When each of its events was made.
+    /// Tokens of the prompt that were not cached.
+    pub prefill_tokens: u64,
+    /// When each of its events was generated.
     pub made: Vec<Instant>,
-    /// When its answer was begun that said that the server leaves.
-    pub said_leaving: Option<Instant>,
-    /// The rest that it was turned away with, in seconds, and when.
-    pub said_rest: Option<(String, Instant)>,
+    /// When an answer to it began that announces that the server leaves.
+    pub leaving_announced: Option<Instant>,
+    /// The back-off that its rejection requests, in seconds, and when.
+    pub backoff_requested: Option<(String, Instant)>,
 }
 
 impl Run {
-    /// The value of a field of the request, by its name in any case.
+    /// The value of a field of the request; the case of the name does not matter.
     pub fn field(&self, name: &str) -> Option<&str> {
         let mut fields = self.fields.iter();
-        let found = fields.find(|(told, _)| told.eq_ignore_ascii_case(name))?;
+        let found = fields.find(|(key, _)| key.eq_ignore_ascii_case(name))?;
         Some(&found.1)
     }
 
-    /// Whether the server began work on it.
+    /// Whether the server began to execute it.
     pub fn ran(&self) -> bool {
         !matches!(self.outcome, Outcome::Waiting | Outcome::Refused(_))
     }
 
-    /// Whether the server began work on it and did not end that: it still does, or it
-    /// crashed meanwhile.
+    /// Whether the server began to execute it and that did not end: it still runs, or the
+    /// server crashed meanwhile.
     pub fn is_open(&self) -> bool {
         self.ran() && self.ended.is_none()
     }
 
-    /// Whether it waited or was worked on at a moment after its arrival.
+    /// Whether it was waiting or being executed at a moment after its arrival.
     pub fn held_at(&self, at: Instant) -> bool {
         self.arrived < at && self.ended.is_none_or(|ended| ended > at)
     }
 
-    /// The body of a whole answer of `length` bytes to it.
+    /// The body of a complete answer of `length` bytes.
     pub fn text(&self, length: usize) -> Vec<u8> {
         let line = format!("{} {} {}\n", self.method, self.target, self.attempt);
         line.bytes().cycle().take(length).collect()
     }
 }
 
-/// The text of one event; the same at every server.
+/// The text of an event, which is the same at every server.
 pub fn event(id: u64) -> String {
     format!("id: {id}\ndata: piece {id}\n\n")
 }
@@ -207,31 +207,31 @@
     dark: bool,
     slow: f64,
     idle_close: Option<Duration>,
-    unwell: bool,
-    /// Whether its answers say that it leaves.
+    unhealthy: bool,
+    /// Whether its answers announce that it leaves.
     leaving: bool,
-    /// What it asks for, in seconds, when it turns a request away.
-    rest: Option<String>,
+    /// The back-off that its rejections request, in seconds.
+    backoff: Option<String>,
     runs: Vec<Run>,
-    kept: HashMap<u64, u32>,
-    /// A list of kept parts that takes the place of the true one.
-    told_kept: Option<Vec<u8>>,
-    /// Bodies of requests that end the server.
-    ends_on: Vec<Vec<u8>>,
+    cached_parts: HashMap<u64, u32>,
+    /// A list of cached parts that replaces the true one.
+    cache_list_override: Option<Vec<u8>>,
+    /// Bodies of requests that crash the server.
+    crash_bodies: Vec<Vec<u8>>,
     /// When it crashed.
     crashed: Option<Instant>,
-    opened: usize,
-    open: usize,
+    connections_opened: usize,
+    connections_open: usize,
     probes: u64,
 }
 
 #[derive(Debug)]
 struct Shared {
     settings: Settings,
-    desk: Arc<Desk>,
+    admission: Arc<Admission>,
     state: Mutex<State>,
-    lit: Event,
-    /// Takes connections until it is dropped.
+    dark_ended: Event,
+    /// Accepts connections until it is dropped.
     listening: Mutex<Option<Task<()>>>,
 }
 
@@ -242,9 +242,9 @@
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Whether a request with this body ends the server.
-    fn ends_on(&self, body: &[u8]) -> bool {
-        self.lock().ends_on.iter().any(|ends| ends == body)
+    /// Whether a request with this body crashes the server.
+    fn crashes_on(&self, body: &[u8]) -> bool {
+        self.lock().crash_bodies.iter().any(|ends| ends == body)
     }
 
     fn listening(&self) -> MutexGuard<'_, Option<Task<()>>> {
@@ -280,65 +280,66 @@
     ///
     /// No port could be bound.
     pub fn start(settings: Settings) -> io::Result<Self> {
-        Self::start_at(front::anywhere(), settings)
+        Self::start_at(http::any_port(), settings)
     }
 
-    /// Starts a server at an address, such as one that another had.
+    /// Starts a server at an address, such as that of an earlier one.
     ///
     /// # Errors
     ///
     /// The address could not be bound.
     pub fn start_at(address: SocketAddr, settings: Settings) -> io::Result<Self> {
-        let desk = Desk::new(settings.slots, settings.queue);
+        let admission = Admission::new(settings.slots, settings.queue);
         let state = State {
             fault: None,
             dark: false,
             slow: 1.0,
             idle_close: None,
-            unwell: false,
+            unhealthy: false,
             leaving: false,
-            rest: None,
+            backoff: None,
             runs: Vec::new(),
-            kept: HashMap::new(),
-            told_kept: None,
-            ends_on: Vec::new(),
+            cached_parts: HashMap::new(),
+            cache_list_override: None,
+            crash_bodies: Vec::new(),
             crashed: None,
-            opened: 0,
-            open: 0,
+            connections_opened: 0,
+            connections_open: 0,
             probes: 0,
         };
         let shared = Arc::new(Shared {
             settings,
-            desk: Arc::new(desk),
+            admission: Arc::new(admission),
             state: Mutex::new(state),
-            lit: Event::new(),
+            dark_ended: Event::new(),
             listening: Mutex::default(),
         });
         let serving = shared.clone();
-        let serve = move |conn| work::serve(serving.clone(), conn);
-        let (address, listening) = front::listen(address, serve)?;
+        let serve = move |conn| connection::serve(serving.clone(), conn);
+        let (address, listening) = http::listen(address, serve)?;
         *shared.listening() = Some(listening);
         Ok(Self { address, shared })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it is.
+    /// Its settings.
     pub fn settings(&self) -> &Settings {
         &self.shared.settings
     }
 
-    /// Crashes: its port and connections close.
+    /// Crashes the server: its port and connections close.
     pub fn crash(&self) {
         self.shared.crash();
     }
 
-    /// Crashes when it has worked on a request with this body, before its answer.
+    /// Makes the server crash after it has executed a request with this body, before the
+    /// answer.
     pub fn end_on(&self, body: &[u8]) {
-        self.shared.lock().ends_on.push(body.to_vec());
+        self.shared.lock().crash_bodies.push(body.to_vec());
     }
 
     /// When it crashed.
@@ -351,86 +352,87 @@
         self.shared.listening().is_none()
     }
 
-    /// Lets the next `count` requests go wrong; `u32::MAX` is all of them.
+    /// Makes the next `count` requests fail in this way; `u32::MAX` stands for all of them.
     pub fn fault(&self, fault: Fault, count: u32) {
         self.shared.lock().fault = Some((fault, count));
     }
 
-    /// Says in all answers that it leaves, or no longer.
+    /// Sets whether all answers announce that the server leaves.
     pub fn leave(&self, leaving: bool) {
         self.shared.lock().leaving = leaving;
     }
 
-    /// Asks for rest with each 503, as a text of seconds, or no longer.
+    /// Sets the back-off that each 503 requests, as a text of seconds.
     pub fn ask_rest(&self, seconds: Option<&str>) {
-        self.shared.lock().rest = seconds.map(str::to_owned);
+        self.shared.lock().backoff = seconds.map(str::to_owned);
     }
 
-    /// Ends faults, darkness, slowness, early closing, bad health, the rest it asks for
-    /// and what requests end. A server that leaves goes on saying so.
+    /// Ends faults, darkness, slowness, early closing, failing health checks, requested
+    /// back-offs and crashes on requests. A server that announces that it leaves goes on
+    /// doing so.
     pub fn heal(&self) {
         let mut state = self.shared.lock();
         state.fault = None;
         state.slow = 1.0;
         state.idle_close = None;
-        state.unwell = false;
-        state.rest = None;
-        state.ends_on.clear();
+        state.unhealthy = false;
+        state.backoff = None;
+        state.crash_bodies.clear();
         drop(state);
         self.dark(false);
     }
 
-    /// Goes silent on all connections, or comes back.
+    /// Stops answering on all connections, or resumes.
     pub fn dark(&self, dark: bool) {
         self.shared.lock().dark = dark;
-        self.shared.lit.notify(usize::MAX);
+        self.shared.dark_ended.notify(usize::MAX);
     }
 
-    /// Makes work take so many times its usual time.
+    /// Multiplies the time that work takes.
     pub fn slow(&self, factor: f64) {
         self.shared.lock().slow = factor;
     }
 
-    /// Closes connections that have rested for so long.
+    /// Closes connections that have been idle for this long.
     pub fn close_idle(&self, after: Option<Duration>) {
         self.shared.lock().idle_close = after;
     }
 
-    /// Answers health checks with 503, or with 200 again.
-    pub fn unwell(&self, unwell: bool) {
-        self.shared.lock().unwell = unwell;
+    /// Sets whether health checks are answered with 503.
+    pub fn unhealthy(&self, unhealthy: bool) {
+        self.shared.lock().unhealthy = unhealthy;
     }
 
-    /// Answers with these bytes when asked which parts it keeps.
+    /// Answers with these bytes when asked for its cached parts.
     pub fn tell_kept(&self, body: &[u8]) {
-        self.shared.lock().told_kept = Some(body.to_vec());
+        self.shared.lock().cache_list_override = Some(body.to_vec());
     }
 
-    /// Everything that reached it, in order, apart from health checks, reports
-    /// and lists.
+    /// All requests that reached it, in order, apart from health checks, load reports and
+    /// lists of cached parts.
     pub fn runs(&self) -> Vec<Run> {
         self.shared.lock().runs.clone()
     }
 
-    /// How often the attempt was run here.
+    /// How often a request with this attempt id was executed here.
     pub fn ran(&self, attempt: &str) -> usize {
         let state = self.shared.lock();
         let runs = state.runs.iter().filter(|run| run.attempt == attempt);
         runs.filter(|run| run.ran()).count()
     }
 
-    /// Requests that are worked on now.
+    /// Number of requests being executed now.
     pub fn running(&self) -> u32 {
-        self.shared.desk.load().running
+        self.shared.admission.load().running
     }
 
-    /// Connections opened to it so far, and those open now.
+    /// Number of connections opened so far, and of those open now.
     pub fn connections(&self) -> (usize, usize) {
         let state = self.shared.lock();
-        (state.opened, state.open)
+        (state.connections_opened, state.connections_open)
     }
 
-    /// Health checks, reports and lists so far.
+    /// Number of health checks, load reports and lists of cached parts so far.
     pub fn probes(&self) -> u64 {
         self.shared.lock().probes
     }
--- a/crates/relay-standin/src/site.rs
+++ b/crates/relay-standin/src/site.rs
@@ -1,5 +1,4 @@
-//! A small site: a store with a configuration, and servers that announce
-//! themselves in it.
+//! A small site: a store with a configuration, and servers with entries in it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,27 +13,27 @@
 use crate::server::{Server, Settings};
 use crate::store::Store;
 
-/// Host name of a site's routes.
+/// The host name of all routes.
 pub const HOST: &str = "site.example";
 
 /// A route to declare.
 #[derive(Debug, Clone)]
 pub struct Route {
-    /// Beginning of its paths, with a slash at both ends.
+    /// Prefix of its paths, with a slash at both ends.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether its requests may be executed more than once.
     pub kind: Kind,
     /// Services and their weights.
     pub split: Vec<(String, u32)>,
-    /// Most servers for one request.
+    /// Bound on the servers that one request may be sent to.
     pub attempts: u32,
-    /// Longest time that a request is held.
+    /// Time-out of a request.
     pub timeout: Duration,
-    /// Time within which an answer is worth most.
+    /// Target latency.
     pub objective: Duration,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Whether no key is asked for.
+    /// Whether requests need no key.
     pub public: bool,
 }
 
@@ -53,10 +52,10 @@
         }
     }
 
-    fn shown(&self) -> Value {
+    fn to_json(&self) -> Value {
         let share =
             |(service, weight): &(String, u32)| json!({ "service": service, "weight": weight });
-        let mut shown = json!({
+        let mut route = json!({
             "name": format!("r{}", self.prefix.replace('/', "-")),
             "host": HOST,
             "path_prefix": self.prefix,
@@ -72,28 +71,29 @@
             "public": self.public,
         });
         match &*self.split {
-            [(service, _)] => shown["service"] = json!(service),
-            split => shown["traffic_split"] = split.iter().map(share).collect(),
+            [(service, _)] => route["service"] = json!(service),
+            split => route["traffic_split"] = split.iter().map(share).collect(),
         }
         if let Kind::Stream { resumable } = self.kind {
-            shown["session_affinity"] = json!(true);
-            shown["stream_resume"] = json!(resumable);
-            shown["target_itl_ms"] = json!(300);
+            route["session_affinity"] = json!(true);
+            route["stream_resume"] = json!(resumable);
+            route["target_itl_ms"] = json!(300);
         }
-        shown
+        route
     }
 }
 
 /// A running site.
 #[derive(Debug)]
 pub struct Site {
-    /// Its store.
+    /// The store.
     pub store: Store,
     config: Mutex<Value>,
 }
 
 impl Site {
-    /// Starts a store that has no configuration yet, and in which boxes were before.
+    /// Starts a store without a configuration. It records its era as known, as if boxes had
+    /// used it before.
     ///
     /// # Errors
     ///
@@ -120,7 +120,7 @@
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Changes the configuration and writes it under a higher version.
+    /// Changes the configuration and writes it with a higher version; returns the version.
     pub fn configure(&self, change: impl FnOnce(&mut Value)) -> u64 {
         let mut config = self.lock();
         change(&mut config);
@@ -130,25 +130,26 @@
         version
     }
 
-    /// Writes the configuration again as it is, such as after the store lost it.
-    pub fn write_again(&self) {
+    /// Writes the unchanged configuration again, for example after a restore lost it.
+    pub fn rewrite_config(&self) {
         self.store.put_config(&self.lock());
     }
 
-    /// Declares routes, and the services that they name, in one version.
+    /// Declares routes, and the services that they name, in one version; returns the
+    /// version.
     pub fn declare(&self, routes: &[Route]) -> u64 {
         self.configure(|config| {
             for route in routes {
                 for (service, _) in &route.split {
                     declare_service(&mut config["services"], service);
                 }
-                push(&mut config["routes"], route.shown());
+                push(&mut config["routes"], route.to_json());
             }
         })
     }
 
-    /// Sends the routes of a prefix to a service, which is declared if it is
-    /// new.
+    /// Directs the routes of a prefix to a service, which is declared if it is new; returns
+    /// the version.
     pub fn direct(&self, prefix: &str, service: &str) -> u64 {
         self.configure(|config| {
             declare_service(&mut config["services"], service);
@@ -159,7 +160,7 @@
         })
     }
 
-    /// Drops the routes of a prefix.
+    /// Removes the routes of a prefix; returns the version.
     pub fn drop_route(&self, prefix: &str) -> u64 {
         self.configure(|config| {
             if let Some(routes) = config["routes"].as_array_mut() {
@@ -168,7 +169,7 @@
         })
     }
 
-    /// Declares an account with its keys, in place of one of that name.
+    /// Declares an account with its keys, replacing one of that name; returns the version.
     pub fn account(&self, name: &str, keys: &[&str], priority: u8) -> u64 {
         self.configure(|config| {
             let accounts = &mut config["tenants"];
@@ -182,7 +183,7 @@
         })
     }
 
-    /// Starts a server and announces it.
+    /// Starts a server and writes its entry.
     ///
     /// # Errors
     ///
@@ -198,14 +199,14 @@
         self.announce_at(server, server.address(), state)
     }
 
-    /// Writes a server's entry with another address, such as that of a proxy;
-    /// returns the revision.
+    /// Writes a server's entry with another address, such as that of a proxy; returns the
+    /// revision.
     pub fn announce_at(&self, server: &Server, address: SocketAddr, state: State) -> u64 {
         self.announce_with(server, address, state, |_| {})
     }
 
-    /// Writes a server's entry with changes, such as a later life would make;
-    /// returns the revision.
+    /// Writes a server's entry with changes, such as those of a later incarnation; returns
+    /// the revision.
     pub fn announce_with(
         &self,
         server: &Server,
@@ -231,26 +232,26 @@
         self.store.put_server(&settings.id, &entry)
     }
 
-    /// Removes a server's entry; the server goes on.
+    /// Removes a server's entry while the server goes on; returns the revision.
     pub fn withdraw(&self, server: &Server) -> u64 {
         let key = format!("{}{}", names::SERVERS, server.settings().id);
         self.store.remove(&key)
     }
 
-    /// The operator asks to send nothing to a hall's servers; returns the revision.
+    /// Empties a hall as the operator; returns the revision.
     pub fn empty_hall(&self, hall: &str) -> u64 {
         let key = format!("{}{hall}", names::EMPTIED);
         self.store.put(&key, &json!({}))
     }
 
-    /// The operator takes a hall back; returns the revision.
+    /// Cancels the emptying of a hall as the operator; returns the revision.
     pub fn take_back(&self, hall: &str) -> u64 {
         let key = format!("{}{hall}", names::EMPTIED);
         self.store.remove(&key)
     }
 
-    /// The fields of a box's settings, as the platform names them. The three
-    /// addresses are for clients, for readiness and for other boxes.
+    /// The settings of a box, with the names of the platform. The three addresses are for
+    /// clients, for readiness checks and for other boxes.
     pub fn settings(&self, name: &str, hall: &str, listen: [SocketAddr; 3]) -> Value {
         let [frontend, readiness, control] = listen.map(|address| address.to_string());
         json!({
@@ -290,10 +291,10 @@
     }
 }
 
-/// Appends to a list, which begins with its first entry.
+/// Appends to a list; creates the list if there is none.
 fn push(list: &mut Value, entry: Value) {
     match list {
         Value::Array(all) => all.push(entry),
-        absent => *absent = json!([entry]),
+        empty => *empty = json!([entry]),
     }
 }
--- a/crates/relay-standin/src/store/data.rs
+++ b/crates/relay-standin/src/store/data.rs
@@ -1,4 +1,4 @@
-//! What the store holds: items, leases and the history of changes.
+//! The contents of the store: items, leases and the history of changes.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -12,9 +12,9 @@
 
 /// The first era of a store.
 const FIRST_ERA: u64 = 1;
-/// Longest key, in bytes, as the platform allows.
-const KEY_BYTES: usize = 200;
-/// Longest lease, as the platform allows.
+/// Largest key that the platform allows, in bytes.
+const KEY_BYTES_MAX: usize = 200;
+/// Longest lease that the platform allows.
 const LEASE_MAX: Duration = Duration::from_secs(600);
 
 /// An answer of the store.
@@ -22,7 +22,8 @@
 pub(crate) struct Reply {
     pub(crate) status: u16,
     pub(crate) fields: Value,
-    /// The era of what it tells; `None`: it tells nothing of what the store holds.
+    /// The era that its contents belong to; `None` if it says nothing about the contents of
+    /// the store.
     pub(crate) era: Option<u64>,
 }
 
@@ -50,10 +51,10 @@
 
 #[derive(Debug, Clone)]
 pub(crate) struct Data {
-    /// Which history of the store this is; rises with each return to a copy.
+    /// The era of the store, which rises with each restore from a backup.
     pub(crate) era: u64,
     pub(crate) revision: u64,
-    /// Changes up to this revision are forgotten.
+    /// Changes up to this revision are no longer in the history.
     compacted: u64,
     items: BTreeMap<String, Item>,
     leases: BTreeMap<u64, Lease>,
@@ -62,7 +63,7 @@
 }
 
 impl Item {
-    fn shown(&self, key: &str) -> Value {
+    fn to_json(&self, key: &str) -> Value {
         json!({
             names::KEY: key,
             "value": STANDARD.encode(&self.value),
@@ -106,12 +107,12 @@
         keys.cloned().collect()
     }
 
-    /// Becomes what `copy` was, in the next era.
-    pub(crate) fn go_back(&mut self, copy: &Self) {
+    /// Takes the contents of `backup`, in the next era.
+    pub(crate) fn restore(&mut self, backup: &Self) {
         let era = self.era + 1;
         *self = Self {
             era,
-            ..copy.clone()
+            ..backup.clone()
         };
     }
 
@@ -120,17 +121,17 @@
         self.history.clear();
     }
 
-    /// Removes the keys of leases that are over; whether there were any.
+    /// Ends expired leases and removes their keys; returns whether there were any.
     pub(crate) fn expire(&mut self, now: Instant) -> bool {
-        let over = self.leases.iter().filter(|(_, lease)| lease.until <= now);
-        let over: Vec<u64> = over.map(|(id, _)| *id).collect();
-        for id in &over {
+        let expired = self.leases.iter().filter(|(_, lease)| lease.until <= now);
+        let expired: Vec<u64> = expired.map(|(id, _)| *id).collect();
+        for id in &expired {
             self.end_lease(*id);
         }
-        !over.is_empty()
+        !expired.is_empty()
     }
 
-    /// Ends a lease with its keys; whether there was one.
+    /// Ends a lease and removes its keys; returns whether it existed.
     pub(crate) fn end_lease(&mut self, id: u64) -> bool {
         if self.leases.remove(&id).is_none() {
             return false;
@@ -146,7 +147,7 @@
         true
     }
 
-    pub(crate) fn grant(&mut self, body: &Value, least: Duration) -> Reply {
+    pub(crate) fn grant_lease(&mut self, body: &Value, least: Duration) -> Reply {
         let Some(asked) = body[names::TTL].as_u64() else {
             return refusal(400, "no time for the lease");
         };
@@ -158,7 +159,7 @@
         self.reply(200, fields)
     }
 
-    pub(crate) fn keep(&mut self, id: u64) -> Reply {
+    pub(crate) fn renew_lease(&mut self, id: u64) -> Reply {
         match self.leases.get_mut(&id) {
             Some(lease) => {
                 lease.until = Instant::now() + lease.ttl;
@@ -172,11 +173,11 @@
     pub(crate) fn item(&self, key: &str) -> Reply {
         match self.items.get(key) {
             Some(item) => {
-                let mut shown = item.shown(key);
-                shown[names::NOW] = self.revision.into();
-                self.reply(200, shown)
+                let mut fields = item.to_json(key);
+                fields[names::STORE_REVISION] = self.revision.into();
+                self.reply(200, fields)
             }
-            None => self.reply(404, json!({ names::NOW: self.revision })),
+            None => self.reply(404, json!({ names::STORE_REVISION: self.revision })),
         }
     }
 
@@ -186,22 +187,20 @@
         let found = self.items.range(start.to_owned()..);
         let mut found = found.take_while(|(key, _)| key.starts_with(prefix));
         let page = found.by_ref().take(most);
-        let entries: Vec<Value> = page.map(|(key, item)| item.shown(key)).collect();
+        let entries: Vec<Value> = page.map(|(key, item)| item.to_json(key)).collect();
         let more = found.next().is_some();
-        let fields =
-            json!({ names::ENTRIES: entries, names::MORE: more, names::NOW: self.revision });
+        let fields = json!({ names::ENTRIES: entries, names::MORE: more, names::STORE_REVISION: self.revision });
         self.reply(200, fields)
     }
 
-    /// Changes under `prefix` after the revision `after`; `None` if there are
-    /// none yet.
+    /// Changes under `prefix` after the revision `after`; `None` if there are none yet.
     pub(crate) fn changes(&self, prefix: &str, after: u64) -> Option<Reply> {
         if after < self.compacted || after > self.revision {
             return Some(self.reply(410, json!({ "error": "this history is gone" })));
         }
         let new = self.history.iter().filter(|change| change.revision > after);
         let new = new.filter(|change| change.key.starts_with(prefix));
-        let events: Vec<Value> = new.map(Change::shown).collect();
+        let events: Vec<Value> = new.map(Change::to_json).collect();
         (!events.is_empty()).then(|| self.events(events))
     }
 
@@ -210,7 +209,10 @@
     }
 
     pub(crate) fn events_as_of(&self, events: Vec<Value>, revision: u64) -> Reply {
-        self.reply(200, json!({ "events": events, names::NOW: revision }))
+        self.reply(
+            200,
+            json!({ "events": events, names::STORE_REVISION: revision }),
+        )
     }
 
     pub(crate) fn put(&mut self, key: &str, value: Vec<u8>, lease: u64) {
@@ -222,16 +224,16 @@
             lease,
         };
         self.items.insert(key.into(), item.clone());
-        self.changed(key, Some(item));
+        self.record_change(key, Some(item));
     }
 
     pub(crate) fn remove(&mut self, key: &str) {
         if self.items.remove(key).is_some() {
-            self.changed(key, None);
+            self.record_change(key, None);
         }
     }
 
-    fn changed(&mut self, key: &str, item: Option<Item>) {
+    fn record_change(&mut self, key: &str, item: Option<Item>) {
         self.history.push_back(Change {
             key: key.into(),
             revision: self.revision,
@@ -262,11 +264,11 @@
         let removed = remove.iter().map(|key| key.as_str().unwrap_or_default());
         let removed: Vec<&str> = removed.collect();
         let keys = puts.iter().map(|put| put.0).chain(removed.iter().copied());
-        if let Some(refused) = keys.into_iter().find_map(refused_key) {
+        if let Some(refused) = keys.into_iter().find_map(refuse_key) {
             return refused;
         }
-        if !expected.iter().all(|row| self.holds(row)) {
-            return self.reply(412, json!({ names::ENTRIES: self.current(expected) }));
+        if !expected.iter().all(|row| self.condition_holds(row)) {
+            return self.reply(412, json!({ names::ENTRIES: self.current_items(expected) }));
         }
         let leases = puts.iter().map(|put| put.2).filter(|lease| *lease != 0);
         if leases.into_iter().any(|id| !self.leases.contains_key(&id)) {
@@ -284,25 +286,24 @@
         self.reply(200, json!({ names::REVISION: self.revision }))
     }
 
-    fn holds(&self, row: &Value) -> bool {
+    fn condition_holds(&self, row: &Value) -> bool {
         let key = row[names::KEY].as_str().unwrap_or_default();
         let now = self.items.get(key).map_or(0, |item| item.revision);
         row[names::REVISION].as_u64() == Some(now)
     }
 
-    /// The items that the conditions name, as they are; absent keys are left
-    /// out.
-    fn current(&self, expected: &[Value]) -> Vec<Value> {
+    /// The current items of the keys in the conditions; missing keys are left out.
+    fn current_items(&self, expected: &[Value]) -> Vec<Value> {
         let keys = expected.iter().filter_map(|row| row[names::KEY].as_str());
-        let items = keys.filter_map(|key| Some(self.items.get(key)?.shown(key)));
+        let items = keys.filter_map(|key| Some(self.items.get(key)?.to_json(key)));
         items.collect()
     }
 }
 
 impl Change {
-    fn shown(&self) -> Value {
+    fn to_json(&self) -> Value {
         match &self.item {
-            Some(item) => item.shown(&self.key),
+            Some(item) => item.to_json(&self.key),
             None => {
                 json!({ names::KEY: self.key, names::REVISION: self.revision, "deleted": true })
             }
@@ -310,12 +311,12 @@
     }
 }
 
-/// Why the system may not write a key, if it may not.
-fn refused_key(key: &str) -> Option<Reply> {
+/// A refusal if the system may not write this key.
+fn refuse_key(key: &str) -> Option<Reply> {
     if key.starts_with(names::OPERATOR) || key.starts_with(names::SERVERS) {
         return Some(refusal(403, "not for the system to write"));
     }
-    (key.is_empty() || key.len() > KEY_BYTES).then(|| refusal(400, "a key's length"))
+    (key.is_empty() || key.len() > KEY_BYTES_MAX).then(|| refusal(400, "a key's length"))
 }
 
 pub(crate) fn refusal(status: u16, why: &str) -> Reply {
--- a/crates/relay-standin/src/store/faults.rs
+++ b/crates/relay-standin/src/store/faults.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a store.
+//! The faults of a store.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 /// How a store that is down behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Down {
-    /// Calls are swallowed.
+    /// Calls get no answer, and their connections stay open.
     Silent,
     /// Calls get 503.
     Busy,
@@ -15,27 +15,27 @@
     Reset,
 }
 
-/// What is wrong with a store.
+/// The faults that are set, and the limits of the store.
 #[derive(Debug, Clone)]
 pub struct Faults {
-    /// It is down.
+    /// Whether it is down, and how.
     pub down: Option<Down>,
     /// Calls get 429.
     pub refuse: bool,
-    /// Calls get no answer, but for watches.
+    /// Calls get no answer, except watches.
     pub mute: bool,
-    /// Answers take this much longer.
+    /// Calls are delayed by this before they are executed.
     pub slow: Duration,
-    /// Answers that are made leave this much later, with what they said by then.
+    /// Answers are sent this much later than they were made, with the contents of then.
     pub held: Duration,
-    /// So many of the next writing calls are done and not answered.
+    /// Number of next write calls that are executed but not answered.
     pub lost: u32,
-    /// So many of the next writing calls get no answer and are done after the
-    /// delay, if their conditions still hold.
+    /// Number of next write calls that get no answer and are executed after the delay, if
+    /// their conditions still hold.
     pub late: (u32, Duration),
-    /// Watches learn of nothing before this moment.
+    /// Watches return no changes before this moment.
     pub deaf_until: Option<Instant>,
-    /// Most items on one page.
+    /// Bound on the items of one page.
     pub page: usize,
     /// Shortest lease.
     pub lease_min: Duration,
@@ -44,7 +44,7 @@
 }
 
 impl Default for Faults {
-    /// None, and the limits of a real platform.
+    /// No faults, and the limits of a real platform.
     fn default() -> Self {
         Self {
             down: None,
@@ -62,28 +62,28 @@
     }
 }
 
-/// What becomes of a call.
-pub(crate) enum Fate {
+/// How a call ends.
+pub(crate) enum Disposition {
     Answer(Reply),
-    /// The connection says nothing further.
+    /// The connection stays open without any answer.
     Silence,
     Reset,
 }
 
 impl Faults {
-    /// What becomes of a call that waits while the store goes down.
-    pub(crate) fn waiting_fate(&self) -> Option<Fate> {
+    /// How a call that is waiting ends if the store goes down.
+    pub(crate) fn disposition_while_waiting(&self) -> Option<Disposition> {
         match self.down? {
-            Down::Silent => Some(Fate::Silence),
-            Down::Busy => Some(Fate::Answer(refusal(503, "down"))),
-            Down::Reset => Some(Fate::Reset),
+            Down::Silent => Some(Disposition::Silence),
+            Down::Busy => Some(Disposition::Answer(refusal(503, "down"))),
+            Down::Reset => Some(Disposition::Reset),
         }
     }
 
-    /// What becomes of a call that arrives.
-    pub(crate) fn fate(&self) -> Option<Fate> {
-        let refused = || refusal(429, "too many calls");
-        let fate = self.waiting_fate();
-        fate.or_else(|| self.refuse.then(|| Fate::Answer(refused())))
+    /// How a call that arrives ends if a fault decides that.
+    pub(crate) fn disposition(&self) -> Option<Disposition> {
+        let rejected = || refusal(429, "too many calls");
+        let disposition = self.disposition_while_waiting();
+        disposition.or_else(|| self.refuse.then(|| Disposition::Answer(rejected())))
     }
 }
--- a/crates/relay-standin/src/store/mod.rs
+++ b/crates/relay-standin/src/store/mod.rs
@@ -1,7 +1,7 @@
-//! The platform's key-value store.
+//! A stand-in for the key-value store of the platform.
 //!
-//! Items live in memory. A watch returns the changes *after* the revision it
-//! names; a page begins *at* the key it names.
+//! Items are held in memory. A watch returns the changes *after* the revision that it
+//! names; a page begins *at* the key that it names.
 
 mod data;
 mod faults;
@@ -21,17 +21,17 @@
 use tidepier_h1::{Conn, Head};
 use tidepier_platform::store::WAIT_MAX;
 
-use crate::front;
+use crate::http;
 use crate::names;
 use data::{refusal, Data, Reply};
-use faults::Fate;
+use faults::Disposition;
 pub use faults::{Down, Faults};
 pub use view::View;
 
-/// How often leases are looked at; well under the shortest one.
-const EXPIRY_STEP: Duration = Duration::from_millis(20);
-/// Pause after which a waiting watch looks whether its store is out of order.
-const WATCH_STEP: Duration = Duration::from_millis(25);
+/// Interval at which leases are checked for expiry; well below the shortest lease.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which a waiting watch checks for faults of the store.
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 #[derive(Debug, Default)]
 struct Inner {
@@ -43,7 +43,7 @@
     cut: Event,
 }
 
-/// All that a store held at one moment.
+/// A copy of the contents of a store at one moment.
 #[derive(Debug, Clone)]
 pub struct Copy(Data);
 
@@ -71,10 +71,10 @@
         let inner = Arc::new(Inner::default());
         let (serving, expiring) = (inner.clone(), inner.clone());
         let serve = move |conn| serving.clone().serve(conn, Arc::default());
-        let (address, listening) = front::listen(front::anywhere(), serve)?;
+        let (address, listening) = http::listen(http::any_port(), serve)?;
         let expiry = smol::spawn(async move {
             loop {
-                Timer::after(EXPIRY_STEP).await;
+                Timer::after(EXPIRY_INTERVAL).await;
                 expiring.change(|data| data.expire(Instant::now()));
             }
         });
@@ -85,35 +85,35 @@
         })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Opens another address of the store, which shows values with some texts
-    /// in place of others: how one box sees the addresses of the others.
+    /// Opens another address of the store, which replaces some texts in the values that it
+    /// returns: one box then sees other addresses for the others.
     ///
     /// # Errors
     ///
     /// No port could be bound.
-    pub fn view(&self, texts: Vec<(String, String)>) -> io::Result<View> {
-        let (inner, texts) = (self.inner.clone(), Arc::new(texts));
-        let serve = move |conn| inner.clone().serve(conn, texts.clone());
-        let (address, task) = front::listen(front::anywhere(), serve)?;
+    pub fn view(&self, replacements: Vec<(String, String)>) -> io::Result<View> {
+        let (inner, replacements) = (self.inner.clone(), Arc::new(replacements));
+        let serve = move |conn| inner.clone().serve(conn, replacements.clone());
+        let (address, task) = http::listen(http::any_port(), serve)?;
         Ok(View::new(address, task))
     }
 
-    /// Changes what is wrong with the store.
+    /// Changes the faults of the store.
     pub fn faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut lock(&self.inner.faults));
     }
 
-    /// The operator writes a key; returns the revision.
+    /// Writes a key as the operator; returns the revision.
     pub fn put(&self, key: &str, value: &Value) -> u64 {
         self.put_bytes(key, value.to_string().into_bytes())
     }
 
-    /// Someone writes bytes that may be no JSON; returns the revision.
+    /// Writes bytes that need not be JSON; returns the revision.
     pub fn put_bytes(&self, key: &str, value: Vec<u8>) -> u64 {
         self.inner.change(|data| {
             data.revision += 1;
@@ -122,17 +122,17 @@
         })
     }
 
-    /// The operator writes the configuration; returns the revision.
+    /// Writes the configuration as the operator; returns the revision.
     pub fn put_config(&self, config: &Value) -> u64 {
         self.put(names::CONFIG, config)
     }
 
-    /// A server announces itself; returns the revision.
+    /// Writes the entry of a server; returns the revision.
     pub fn put_server(&self, id: &str, entry: &Value) -> u64 {
         self.put(&format!("{}{id}", names::SERVERS), entry)
     }
 
-    /// The operator removes a key; returns the revision.
+    /// Removes a key as the operator; returns the revision.
     pub fn remove(&self, key: &str) -> u64 {
         self.inner.change(|data| {
             data.revision += 1;
@@ -151,54 +151,54 @@
         lock(&self.inner.data).keys(prefix)
     }
 
-    /// The revision.
+    /// The current revision.
     pub fn revision(&self) -> u64 {
         lock(&self.inner.data).revision
     }
 
-    /// Forgets all history.
+    /// Discards the history.
     pub fn compact(&self) {
         self.inner.change(Data::compact);
     }
 
-    /// A copy of all that it holds now.
+    /// Copies the current contents.
     pub fn copy(&self) -> Copy {
         Copy(lock(&self.inner.data).clone())
     }
 
-    /// Goes back to a copy: what was written since is gone, leases too, and its revisions
-    /// are given out again. Waiting watches for changes after a revision that the copy
-    /// does not have get 410.
+    /// Restores the store from a copy: later writes and leases are lost, and later
+    /// revisions are assigned again. Waiting watches for changes after a revision that the
+    /// copy does not have get 410.
     pub fn go_back(&self, copy: &Copy) {
-        self.inner.change(|data| data.go_back(&copy.0));
+        self.inner.change(|data| data.restore(&copy.0));
     }
 
-    /// Its era.
+    /// The current era.
     pub fn era(&self) -> u64 {
         lock(&self.inner.data).era
     }
 
-    /// Cuts the watches that wait.
+    /// Resets the connections of waiting watches.
     pub fn cut_watches(&self) {
         self.inner.cut.notify(usize::MAX);
     }
 
-    /// Lets watches learn of nothing for a while.
+    /// Makes watches return no changes for this long.
     pub fn deaf(&self, time: Duration) {
         self.faults(|faults| faults.deaf_until = Some(Instant::now() + time));
     }
 
-    /// Calls of this name so far, such as `kv-txn`, refused ones included.
+    /// Number of calls with this name so far, such as `kv-txn`, including refused ones.
     pub fn calls(&self, name: &str) -> u64 {
         lock(&self.inner.calls).get(name).copied().unwrap_or(0)
     }
 
-    /// Bytes of all answers so far.
+    /// Number of bytes of all answers so far.
     pub fn sent(&self) -> u64 {
         self.inner.sent.load(Ordering::Relaxed)
     }
 
-    /// All calls so far, by name.
+    /// Number of calls so far, by name.
     pub fn all_calls(&self) -> BTreeMap<String, u64> {
         lock(&self.inner.calls).clone()
     }
@@ -211,17 +211,16 @@
         result
     }
 
-    /// Serves a connection; `shown` are texts that values are shown with in
-    /// place of others.
-    async fn serve(self: Arc<Self>, mut conn: Conn, shown: Arc<view::Texts>) {
-        while let Ok(Some(head)) = conn.head(front::HEAD_BYTES).await {
-            let Ok(body) = front::body(&mut conn, &head).await else {
+    /// Serves a connection; `replacements` are applied to the values that it returns.
+    async fn serve(self: Arc<Self>, mut conn: Conn, replacements: Arc<view::Replacements>) {
+        while let Ok(Some(head)) = conn.head(http::HEAD_BYTES_MAX).await {
+            let Ok(body) = http::body(&mut conn, &head).await else {
                 return;
             };
-            let reply = match self.fate(&head, &body).await {
-                Fate::Answer(reply) => view::show(reply, &shown),
-                Fate::Silence => return silence(&mut conn).await,
-                Fate::Reset => {
+            let reply = match self.disposition(&head, &body).await {
+                Disposition::Answer(reply) => view::replace_texts(reply, &replacements),
+                Disposition::Silence => return stay_silent(&mut conn).await,
+                Disposition::Reset => {
                     if let Err(error) = conn.writer().reset_on_close() {
                         log::debug!("already closed: {error}");
                     }
@@ -234,7 +233,7 @@
                 .to_string();
             let fields = [("Content-Type", "application/json"), (names::ERA, &era)];
             let body = reply.fields.to_string();
-            let bytes = front::answer(reply.status, &fields, body.as_bytes());
+            let bytes = http::answer(reply.status, &fields, body.as_bytes());
             let held = lock(&self.faults).held;
             Timer::after(held).await;
             self.sent.fetch_add(bytes.len() as u64, Ordering::Relaxed);
@@ -244,38 +243,39 @@
         }
     }
 
-    async fn fate(self: &Arc<Self>, head: &Head, body: &[u8]) -> Fate {
+    async fn disposition(self: &Arc<Self>, head: &Head, body: &[u8]) -> Disposition {
         let (path, query) = head.target().split_once('?').unwrap_or((head.target(), ""));
-        let path = path.strip_prefix(names::CALLS).unwrap_or("");
+        let path = path.strip_prefix(names::CALLS_PREFIX).unwrap_or("");
         let (name, id) = path.split_once('/').unwrap_or((path, ""));
         *lock(&self.calls).entry(name.into()).or_default() += 1;
         let faults = lock(&self.faults).clone();
-        if let Some(fate) = faults.fate() {
-            return fate;
+        if let Some(disposition) = faults.disposition() {
+            return disposition;
         }
         if faults.mute && name != "kv-watch" {
-            return Fate::Silence;
+            return Disposition::Silence;
         }
         Timer::after(faults.slow).await;
         let body = match body {
             [] => Value::Null,
             body => match serde_json::from_slice(body) {
                 Ok(body) => body,
-                Err(_) => return Fate::Answer(refusal(400, "no JSON")),
+                Err(_) => return Disposition::Answer(refusal(400, "no JSON")),
             },
         };
-        let ask = |wanted: &str| query_value(query, wanted);
-        let (key, prefix) = (ask(names::KEY), ask(names::PREFIX));
+        let param = |wanted: &str| query_value(query, wanted);
+        let (key, prefix) = (param(names::KEY), param(names::PREFIX));
         match (head.method(), name) {
-            ("GET", "kv-key") => Fate::Answer(lock(&self.data).item(&key)),
+            ("GET", "kv-key") => Disposition::Answer(lock(&self.data).item(&key)),
             ("GET", "kv-range") => {
-                let from = ask(names::FROM);
-                Fate::Answer(lock(&self.data).page(&prefix, &from, faults.page))
+                let from = param(names::FROM);
+                Disposition::Answer(lock(&self.data).page(&prefix, &from, faults.page))
             }
             ("GET", "kv-watch") => {
-                let (Ok(after), Ok(wait)) = (ask(names::FROM).parse(), ask(names::WAIT).parse())
+                let (Ok(after), Ok(wait)) =
+                    (param(names::FROM).parse(), param(names::WAIT).parse())
                 else {
-                    return Fate::Answer(refusal(400, "a watch without its numbers"));
+                    return Disposition::Answer(refusal(400, "a watch without its numbers"));
                 };
                 let wait = Duration::from_millis(wait).min(WAIT_MAX);
                 self.watch(&prefix, after, wait).await
@@ -283,12 +283,12 @@
             ("POST", "kv-txn" | "kv-lease" | "kv-keep") | ("DELETE", "kv-lease-end") => {
                 self.write(name.to_owned(), id.parse().unwrap_or(0), body)
             }
-            _ => Fate::Answer(refusal(404, "no such call")),
+            _ => Disposition::Answer(refusal(404, "no such call")),
         }
     }
 
-    /// A writing call, or what a fault makes of it.
-    fn write(self: &Arc<Self>, name: String, id: u64, body: Value) -> Fate {
+    /// Executes a write call, or applies a fault to it.
+    fn write(self: &Arc<Self>, name: String, id: u64, body: Value) -> Disposition {
         let (lost, late) = {
             let mut faults = lock(&self.faults);
             let lost = faults.lost > 0;
@@ -304,13 +304,13 @@
                 inner.apply(&name, id, &body);
             };
             smol::spawn(done).detach();
-            return Fate::Silence;
+            return Disposition::Silence;
         }
         let reply = self.apply(&name, id, &body);
         if lost {
-            return Fate::Silence;
+            return Disposition::Silence;
         }
-        Fate::Answer(reply)
+        Disposition::Answer(reply)
     }
 
     fn apply(&self, name: &str, id: u64, body: &Value) -> Reply {
@@ -322,57 +322,57 @@
             data.expire(Instant::now());
             match name {
                 "kv-txn" => data.txn(body, most),
-                "kv-lease" => data.grant(body, least),
-                "kv-keep" => data.keep(id),
+                "kv-lease" => data.grant_lease(body, least),
+                "kv-keep" => data.renew_lease(id),
                 _ if data.end_lease(id) => data.reply(200, json!({})),
                 _ => refusal(404, "no such lease"),
             }
         })
     }
 
-    async fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Fate {
+    async fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Disposition {
         let until = Instant::now() + wait;
         let cut = self.cut.listen();
         let waiting = async {
             loop {
                 let changed = self.changed.listen();
                 let faults = lock(&self.faults).clone();
-                if let Some(fate) = faults.waiting_fate() {
-                    return fate;
+                if let Some(disposition) = faults.disposition_while_waiting() {
+                    return disposition;
                 }
                 let now = Instant::now();
                 if faults.deaf_until.is_none_or(|until| until <= now) {
                     let data = lock(&self.data);
                     let over = || (now >= until).then(|| data.events(Vec::new()));
                     if let Some(reply) = data.changes(prefix, after).or_else(over) {
-                        return Fate::Answer(reply);
+                        return Disposition::Answer(reply);
                     }
                 } else if now >= until {
                     let nothing = lock(&self.data).events_as_of(Vec::new(), after);
-                    return Fate::Answer(nothing);
+                    return Disposition::Answer(nothing);
                 }
                 let step = async {
-                    Timer::after(WATCH_STEP).await;
+                    Timer::after(WATCH_POLL_INTERVAL).await;
                 };
                 changed.or(step).await;
             }
         };
         let cut = async {
             cut.await;
-            Fate::Reset
+            Disposition::Reset
         };
         waiting.or(cut).await
     }
 }
 
-/// Reads on and says nothing, until the peer ends the connection.
-async fn silence(conn: &mut Conn) {
+/// Reads without answering until the peer closes the connection.
+async fn stay_silent(conn: &mut Conn) {
     while conn.fill().await.is_ok_and(|read| read > 0) {
         future::yield_now().await;
     }
 }
 
-/// The decoded value of a query's name; empty without one.
+/// The decoded value of a query parameter; empty if it is missing.
 fn query_value(query: &str, wanted: &str) -> String {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let found = pairs.find(|(name, _)| *name == wanted);
--- a/crates/relay-standin/src/store/view.rs
+++ b/crates/relay-standin/src/store/view.rs
@@ -1,7 +1,7 @@
-//! A further address of a store, which shows values changed.
+//! Another address of a store, which replaces texts in the values that it returns.
 //!
-//! What is written through it is kept as it came; conditions on revisions hold
-//! as everywhere.
+//! Values that are written through it are stored unchanged, and conditions on revisions
+//! apply as usual.
 
 use std::net::SocketAddr;
 
@@ -12,10 +12,10 @@
 
 use super::data::Reply;
 
-/// Texts, each with what is shown in its place.
-pub(super) type Texts = Vec<(String, String)>;
+/// Texts, each with its replacement.
+pub(super) type Replacements = Vec<(String, String)>;
 
-/// An address of a store; it closes when dropped.
+/// Another address of a store; dropping it closes the port.
 #[derive(Debug)]
 pub struct View {
     address: SocketAddr,
@@ -30,28 +30,32 @@
         }
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-/// A reply with the values of its items changed.
-pub(super) fn show(mut reply: Reply, texts: &Texts) -> Reply {
-    if !texts.is_empty() {
-        show_within(&mut reply.fields, texts);
+/// Applies the replacements to the values of all items in a reply.
+pub(super) fn replace_texts(mut reply: Reply, replacements: &Replacements) -> Reply {
+    if !replacements.is_empty() {
+        replace_within(&mut reply.fields, replacements);
     }
     reply
 }
 
-fn show_within(part: &mut Value, texts: &Texts) {
+fn replace_within(part: &mut Value, replacements: &Replacements) {
     match part {
-        Value::Array(parts) => parts.iter_mut().for_each(|part| show_within(part, texts)),
+        Value::Array(parts) => parts
+            .iter_mut()
+            .for_each(|part| replace_within(part, replacements)),
         Value::Object(fields) => {
             for (name, field) in fields {
                 match field {
-                    Value::String(value) if name == "value" => *value = shown(value, texts),
-                    field => show_within(field, texts),
+                    Value::String(value) if name == "value" => {
+                        *value = replace_in_value(value, replacements)
+                    }
+                    field => replace_within(field, replacements),
                 }
             }
         }
@@ -59,14 +63,14 @@
     }
 }
 
-/// A value, which is text in base64, with other texts. A value that is no text
+/// Applies the replacements to a value, which is text in base64. A value that is not text
 /// stays as it is.
-fn shown(value: &str, texts: &Texts) -> String {
+fn replace_in_value(value: &str, replacements: &Replacements) -> String {
     let bytes = STANDARD.decode(value).unwrap_or_default();
     let Ok(mut text) = String::from_utf8(bytes) else {
         return value.into();
     };
-    for (from, to) in texts {
+    for (from, to) in replacements {
         text = text.replace(from, to);
     }
     STANDARD.encode(text)
--- a/crates/relay-standin/tests/standin/main.rs
+++ b/crates/relay-standin/tests/standin/main.rs
@@ -1,4 +1,4 @@
-//! The stand-ins do what tests of the relay count on.
+//! Tests that the stand-ins behave as tests of the relay expect.
 
 use std::time::Duration;
 
--- a/crates/relay-standin/tests/standin/server.rs
+++ b/crates/relay-standin/tests/standin/server.rs
@@ -1,4 +1,4 @@
-//! Servers and clients.
+//! Tests of servers and clients.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 
 use crate::ms;
 
-/// A wait after which nothing more is expected.
-const QUIET: Duration = Duration::from_millis(150);
+/// Time after which nothing more is expected to arrive.
+const QUIET_TIME: Duration = Duration::from_millis(150);
 
 fn post(attempt: &str) -> Call {
     Call::new("POST", HOST, "/a/b?c=1", attempt).body(b"question")
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_server_answers_and_remembers() {
+fn a_server_answers_and_records_requests() {
     smol::block_on(async {
         let server = Server::start(Settings::default()).unwrap();
         let chunks = Payload::Chunked(vec![b"que".to_vec(), b"stion".to_vec()]);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn calls_that_come_together_share_the_queue() {
+fn concurrent_calls_share_the_queue() {
     smol::block_on(async {
         for _ in 0..30 {
             let settings = Settings {
@@ -120,7 +120,7 @@
         let server = Server::start(settings).unwrap();
         let answer = sent(&server, post("gone").leaving(ms(50))).await;
         assert_eq!((answer.status, answer.end), (0, End::Left));
-        Timer::after(QUIET).await;
+        Timer::after(QUIET_TIME).await;
         let run = &server.runs()[0];
         assert_eq!(run.outcome, Outcome::Left);
         assert!(run.closed.is_some());
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn server_faults_look_as_named() {
+fn server_faults_have_their_documented_effects() {
     smol::block_on(async {
         let server = Server::start(Settings::default()).unwrap();
         let cases = [
@@ -194,18 +194,18 @@
 }
 
 #[test]
-fn surplus_answers_come_at_once_or_later() {
+fn surplus_answers_arrive_at_once_or_later() {
     smol::block_on(async {
         let server = Server::start(Settings::default()).unwrap();
         server.fault(Fault::Extra, 1);
         let mut client = Client::open(server.address()).await.unwrap();
         assert_eq!(client.call(&post("x")).await.status, 200);
-        Timer::after(QUIET).await;
+        Timer::after(QUIET_TIME).await;
         assert!(!client.rests());
         server.fault(Fault::LateExtra, 1);
         let mut client = Client::open(server.address()).await.unwrap();
         client.call(&post("y")).await;
-        Timer::after(QUIET).await;
+        Timer::after(QUIET_TIME).await;
         assert!(client.rests());
         let stale = client.call(&post("z")).await;
         assert_eq!(stale.field(names::ATTEMPT), Some("y"));
@@ -241,11 +241,11 @@
         server.close_idle(Some(ms(50)));
         let mut client = Client::open(server.address()).await.unwrap();
         client.call(&post("g")).await;
-        Timer::after(QUIET).await;
+        Timer::after(QUIET_TIME).await;
         assert!(!client.rests());
         let address = server.address();
         server.crash();
-        Timer::after(QUIET).await;
+        Timer::after(QUIET_TIME).await;
         assert!(Client::open(address).await.is_err());
         let next = Settings {
             id: "i-2".into(),
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn prompts_that_are_kept_are_not_read_again() {
+fn cached_prompt_parts_are_not_prefilled_again() {
     smol::block_on(async {
         let server = Server::start(Settings {
             prefill: Duration::from_micros(10),
@@ -266,13 +266,13 @@
         .unwrap();
         sent(&server, post("p").with(names::PROMPT, "a:800,b:100")).await;
         sent(&server, post("q").with(names::PROMPT, "a:800,c:50")).await;
-        let read: Vec<u64> = server.runs().iter().map(|run| run.prefilled).collect();
+        let read: Vec<u64> = server.runs().iter().map(|run| run.prefill_tokens).collect();
         assert_eq!(read, [900, 50]);
     });
 }
 
 #[test]
-fn limits_of_a_server_hold() {
+fn a_server_enforces_its_limits() {
     smol::block_on(async {
         let settings = Settings {
             connections: 1,
@@ -282,7 +282,7 @@
         let server = Server::start(settings).unwrap();
         let mut first = Client::open(server.address()).await.unwrap();
         assert_eq!(first.call(&post("a")).await.status, 200);
-        // The reset may come before the client has its connection or after.
+        // The reset may arrive before or after the client has opened its connection.
         match Client::once(server.address(), &post("b")).await {
             Ok(answer) => assert_eq!((answer.status, answer.end), (0, End::Reset)),
             Err(error) => assert_ne!(error.kind(), std::io::ErrorKind::TimedOut),
@@ -291,7 +291,7 @@
         server.slow(10.0);
         let slow = first.call(&post("c")).await;
         assert!(slow.elapsed >= ms(200));
-        server.unwell(true);
+        server.unhealthy(true);
         let health = Call::new("GET", HOST, "/healthz", "h");
         assert_eq!(first.call(&health).await.status, 503);
         let report = first
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn a_server_that_drops_nothing_finishes_for_nobody() {
+fn a_server_may_finish_requests_of_closed_connections() {
     smol::block_on(async {
         let settings = Settings {
             drops: false,
@@ -333,7 +333,7 @@
         .unwrap();
         let left = sent(&server, post("a").leaving(ms(100))).await;
         assert!(!left.events.is_empty() && !left.complete);
-        Timer::after(QUIET).await;
+        Timer::after(QUIET_TIME).await;
         assert_eq!(server.runs()[0].outcome, Outcome::Left);
         let address = server.address();
         let reader = async {
@@ -363,14 +363,14 @@
         assert_eq!(server.runs()[0].body, None);
         client.send(b"rest").await.unwrap();
         client.half_close();
-        Timer::after(QUIET).await;
+        Timer::after(QUIET_TIME).await;
         assert_eq!(server.runs()[0].body.as_deref(), Some(&b"rest"[..]));
     });
 }
 
-/// What follows on the connection is the next answer, and no body of the first.
+/// The answer to HEAD has no body: the next bytes on the connection are the next answer.
 #[test]
-fn a_head_gets_no_body() {
+fn an_answer_to_head_has_no_body() {
     smol::block_on(async {
         for events in [
             None,
@@ -387,7 +387,7 @@
             let mut client = Client::open(server.address()).await.unwrap();
             let answer = client.call(&Call::new("HEAD", HOST, "/a", "head")).await;
             assert_eq!((answer.status, answer.complete), (200, true));
-            Timer::after(QUIET).await;
+            Timer::after(QUIET_TIME).await;
             let answer = client.call(&post("after")).await;
             assert_eq!((answer.status, answer.complete), (200, true), "{answer:?}");
             assert_eq!(server.ran("after"), 1);
@@ -395,8 +395,8 @@
     });
 }
 
-/// An answer without a length ends with its connection; that of a server that crashes
-/// within it must not look whole.
+/// An answer without a length ends with its connection. If its server crashes meanwhile,
+/// the answer must not look complete.
 #[test]
 fn a_crash_resets_an_answer_that_ends_with_its_connection() {
     smol::block_on(async {
--- a/crates/relay-standin/tests/standin/site.rs
+++ b/crates/relay-standin/tests/standin/site.rs
@@ -1,4 +1,4 @@
-//! Sites.
+//! Tests of sites.
 
 use serde_json::{json, Value};
 use tidepier_core::catalog::Kind;
@@ -10,7 +10,7 @@
 use tidepier_relay_standin::Site;
 
 #[test]
-fn a_site_tells_its_configuration_and_servers() {
+fn a_site_writes_its_configuration_and_servers() {
     smol::block_on(async {
         let site = Site::start().unwrap();
         let kind = Kind::Stream { resumable: true };
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_site_is_read_by_the_platform_crate() {
+fn the_platform_crate_can_decode_a_site() {
     smol::block_on(async {
         let site = Site::start().unwrap();
         let kind = Kind::Stream { resumable: true };
--- a/crates/relay-standin/tests/standin/store.rs
+++ b/crates/relay-standin/tests/standin/store.rs
@@ -1,4 +1,4 @@
-//! The store.
+//! Tests of the store.
 
 use std::time::Instant;
 
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_store_keeps_conditions_and_revisions() {
+fn the_store_checks_conditions_and_assigns_revisions() {
     smol::block_on(async {
         let store = Store::start().unwrap();
         assert_eq!(
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn pages_go_on_at_a_key() {
+fn pages_continue_at_a_key() {
     smol::block_on(async {
         let store = Store::start().unwrap();
         store.faults(|faults| faults.page = 2);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn watches_wake_expire_and_lose_their_history() {
+fn watches_return_changes_time_out_and_lose_their_history() {
     smol::block_on(async {
         let store = Store::start().unwrap();
         let watch =
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn store_faults_are_kept_apart() {
+fn store_faults_have_separate_effects() {
     smol::block_on(async {
         let store = Store::start().unwrap();
         store.faults(|faults| faults.lost = 1);
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn the_platform_client_is_understood() {
+fn the_platform_client_can_use_the_store() {
     smol::block_on(async {
         let store = Store::start().unwrap();
         store.faults(|faults| faults.page = 2);
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn a_store_that_goes_back_forgets_and_says_so() {
+fn a_restored_store_loses_later_changes_and_raises_its_era() {
     smol::block_on(async {
         let store = Store::start().unwrap();
         let lease = async |ttl_ms: u64| {
@@ -279,14 +279,14 @@
                 .0
         };
         assert_eq!((keep(kept).await, keep(lost).await), (200, 404));
-        // The revision is given out again, for something else.
+        // The revision is assigned again, for another change.
         let (status, done) = put(&store, "my/c", 0, 0).await;
         assert_eq!((status, done), (200, json!({ "revision": 2 })));
     });
 }
 
 #[test]
-fn every_answer_tells_the_era() {
+fn every_answer_names_the_era() {
     smol::block_on(async {
         let store = Store::start().unwrap();
         let copy = store.copy();
@@ -307,7 +307,7 @@
 }
 
 #[test]
-fn a_held_answer_tells_the_era_in_which_it_was_made() {
+fn a_delayed_answer_names_the_era_in_which_it_was_made() {
     smol::block_on(async {
         let store = Store::start().unwrap();
         let copy = store.copy();
--- a/crates/soak/src/fleet/restore.rs
+++ b/crates/soak/src/fleet/restore.rs
@@ -100,7 +100,7 @@
     /// The operator writes its valid entries again, and cancels emptyings that only the
     /// backup contains.
     fn rewrite_operator_entries(&self) {
-        self.site.write_again();
+        self.site.rewrite_config();
         let requested = lock(&self.emptied).clone();
         let prefix = names::EMPTIED;
         let stored = self.site.store.keys(prefix).into_iter();
--- a/crates/soak/src/rule/advertisements.rs
+++ b/crates/soak/src/rule/advertisements.rs
@@ -34,7 +34,7 @@
 fn judge_leaving(evidence: &Evidence, verdict: &mut Verdict, received: &Received<'_>) {
     // The client got the answer, so the box has read the announcement in it.
     let passed_on = received.iter().filter(|(request, delivery)| {
-        delivery.run.said_leaving.is_some() && delivery.run.ran() && request.served()
+        delivery.run.leaving_announced.is_some() && delivery.run.ran() && request.served()
     });
     let passed_on = passed_on.filter_map(|(request, _)| request.ended);
     let Some(received_at) = passed_on.min() else {
@@ -59,7 +59,7 @@
 
 fn judge_backing_off(evidence: &Evidence, verdict: &mut Verdict, received: &Received<'_>) {
     for (_, asked) in received {
-        let Some((backoff, at)) = &asked.run.said_rest else {
+        let Some((backoff, at)) = &asked.run.backoff_requested else {
             continue;
         };
         let backoff = backoff.parse().ok().map(Duration::from_secs_f64);
--- a/crates/soak/tests/soak/rules.rs
+++ b/crates/soak/tests/soak/rules.rs
@@ -101,10 +101,10 @@
             ended: None,
             outcome: Outcome::Finished,
             seal: id.into(),
-            prefilled: 0,
+            prefill_tokens: 0,
             made: Vec::new(),
-            said_leaving: None,
-            said_rest: None,
+            leaving_announced: None,
+            backoff_requested: None,
         };
         self.deliveries.push(Delivery {
             server,
@@ -348,7 +348,7 @@
         case.record_request(&id, Traffic::Repeatable, *second, 200, &body);
         let said = case.at(*second);
         if let Some(delivery) = case.deliveries.last_mut() {
-            delivery.run.said_leaving = Some(said);
+            delivery.run.leaving_announced = Some(said);
         }
     }
     case
@@ -376,7 +376,7 @@
         let said = case.at(*second);
         if let Some(delivery) = case.deliveries.last_mut() {
             delivery.run.outcome = Outcome::Refused(503);
-            delivery.run.said_rest = (number == 0).then(|| ("3.000".into(), said));
+            delivery.run.backoff_requested = (number == 0).then(|| ("3.000".into(), said));
         }
     }
     case
