--- a/crates/relay/src/fleet/watch.rs
+++ b/crates/relay/src/fleet/watch.rs
@@ -22,8 +22,8 @@
         for id in fleet.expire_backoffs(now) {
             log::info!(target: "belief", "event=rest_over server={id} why=time");
         }
-        let (leaving, resting) = fleet.withheld(now);
+        let (leaving, backing_off) = fleet.withheld(now);
         metrics::gauge!("tidepier_servers_leaving").set(leaving as f64);
-        metrics::gauge!("tidepier_servers_resting").set(resting as f64);
+        metrics::gauge!("tidepier_servers_resting").set(backing_off as f64);
     }
 }
--- a/crates/relay/tests/relay/backoff.rs
+++ b/crates/relay/tests/relay/backoff.rs
@@ -45,12 +45,12 @@
 
 /// Sends requests of all kinds in turn for `time`. Returns how many were sent and how
 /// many were served.
-pub(crate) async fn ask(house: &Harness, name: &str, time: Duration) -> Result<(usize, usize)> {
+pub(crate) async fn ask(harness: &Harness, name: &str, time: Duration) -> Result<(usize, usize)> {
     let start = Instant::now();
     let (mut sent, mut served) = (0, 0);
     while start.elapsed() < time {
         let target = ["/r/x", "/o/x"][sent % 2];
-        let answer = house.post(target, &format!("{name}-{sent}")).await?;
+        let answer = harness.post(target, &format!("{name}-{sent}")).await?;
         sent += 1;
         served += usize::from(answer.status == 200);
         Timer::after(ms(10)).await;
@@ -71,11 +71,11 @@
 #[test]
 fn a_server_that_requests_a_backoff_gets_nothing_meanwhile() -> Result {
     run(async |executor| {
-        let (near, far, house) = start_with_two_servers(executor).await?;
-        ask(&house, "before", ms(300)).await?;
+        let (near, far, harness) = start_with_two_servers(executor).await?;
+        ask(&harness, "before", ms(300)).await?;
         near.ask_rest(Some("2.5"));
         near.fault(Fault::Shed, u32::MAX);
-        let (sent, served) = ask(&house, "after", ms(2_400)).await?;
+        let (sent, served) = ask(&harness, "after", ms(2_400)).await?;
         ensure!(
             near.runs().iter().any(|run| !run.ran()),
             "the case did not arise"
@@ -102,12 +102,12 @@
         let site = site()?;
         let near = [site.server(server_settings(1))?, site.server(twin(7))?];
         let far = site.server(server_settings(2))?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         for server in &near {
             server.ask_rest(Some("2"));
             server.fault(Fault::Shed, u32::MAX);
         }
-        let (sent, served) = ask(&house, "asked", ms(1_800)).await?;
+        let (sent, served) = ask(&harness, "asked", ms(1_800)).await?;
         ensure!(served + 2 >= sent, "{served} of {sent} served");
         ensure!(
             far.runs().len() >= served,
@@ -123,20 +123,20 @@
 #[test]
 fn what_cannot_be_placed_is_refused_at_once() -> Result {
     run(async |executor| {
-        let (near, far, house) = start_with_two_servers(executor).await?;
+        let (near, far, harness) = start_with_two_servers(executor).await?;
         for server in [&near, &far] {
             server.ask_rest(Some("1.5"));
             server.fault(Fault::Shed, 1);
         }
         // The route allows attempts at two servers.
-        ensure_not_executed(&house.post("/r/x", "word").await?)?;
-        let told = Instant::now();
+        ensure_not_executed(&harness.post("/r/x", "word").await?)?;
+        let rejected_at = Instant::now();
         for number in 0..20 {
-            let answer = house.post("/r/x", &format!("refused-{number}")).await?;
+            let answer = harness.post("/r/x", &format!("refused-{number}")).await?;
             ensure_not_executed(&answer)?;
             ensure!(answer.elapsed < ms(200), "held for {:?}", answer.elapsed);
             let wait: f64 = answer.field(names::RETRY_AFTER).unwrap_or("0").parse()?;
-            let left = 1.5 - told.elapsed().as_secs_f64();
+            let left = 1.5 - rejected_at.elapsed().as_secs_f64();
             ensure!(wait > left - 0.1 && wait < left + 1.2, "{wait} s of {left}");
             Timer::after(ms(50)).await;
         }
@@ -146,11 +146,19 @@
             "{reached} reached servers that are backing off"
         );
         wait_until("served", async || {
-            Ok(house.post("/r/x", "back").await?.status == 200)
+            Ok(harness.post("/r/x", "back").await?.status == 200)
         })
         .await?;
-        ensure!(told.elapsed() > ms(1_400), "after {:?}", told.elapsed());
-        ensure!(told.elapsed() < ms(2_500), "after {:?}", told.elapsed());
+        ensure!(
+            rejected_at.elapsed() > ms(1_400),
+            "after {:?}",
+            rejected_at.elapsed()
+        );
+        ensure!(
+            rejected_at.elapsed() < ms(2_500),
+            "after {:?}",
+            rejected_at.elapsed()
+        );
         Ok(())
     })
 }
@@ -164,23 +172,23 @@
         let rejecting = site.server(stream_server_settings(1, 20, ms(20)))?;
         let breaks = site.server(stream_server_settings(2, 20, ms(20)))?;
         let other = site.server(stream_server_settings(3, 20, ms(20)))?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         rejecting.ask_rest(Some("3"));
         rejecting.fault(Fault::Shed, u32::MAX);
         wait_until("asked", async || {
-            house
+            harness
                 .post("/u/x", &format!("word-{}", other.runs().len()))
                 .await?;
             Ok(!rejecting.runs().is_empty())
         })
         .await?;
-        let told = Instant::now();
+        let rejected_at = Instant::now();
         breaks.fault(Fault::CutEvent, u32::MAX);
         for number in 0..6 {
-            house.post("/s/x", &format!("resumed-{number}")).await?;
+            harness.post("/s/x", &format!("resumed-{number}")).await?;
         }
         let late = rejecting.runs();
-        let late = late.iter().filter(|run| run.arrived > told).count();
+        let late = late.iter().filter(|run| run.arrived > rejected_at).count();
         ensure!(late == 0, "{late} streams at a server that is backing off");
         Ok(())
     })
@@ -191,34 +199,34 @@
 #[test]
 fn the_operator_cancels_a_backoff_of_an_hour() -> Result {
     run(async |executor| {
-        let (near, far, house) = start_with_two_servers(executor).await?;
+        let (near, far, harness) = start_with_two_servers(executor).await?;
         near.ask_rest(Some("3600"));
         near.fault(Fault::Shed, 1);
         wait_until("asked", async || {
-            house
+            harness
                 .post("/o/x", &format!("word-{}", far.runs().len()))
                 .await?;
             Ok(!near.runs().is_empty())
         })
         .await?;
         far.fault(Fault::Shed, u32::MAX);
-        ask(&house, "resting", ms(300)).await?;
+        ask(&harness, "resting", ms(300)).await?;
         ensure!(
             near.runs().len() == 1,
             "sent to a server that is backing off"
         );
-        let fleet = &house.router.relay().fleet;
+        let fleet = &harness.router.relay().fleet;
         ensure!(
             fleet.withheld(tidepier_clock::Instant::now()) == (0, 1),
             "not counted as backing off"
         );
         let woken = |servers: &[&str]| -> Result<Settings> {
-            let mut told = harness::settings(&house.site);
-            told["woken"] = servers.to_vec().into();
-            Ok(serde_json::from_value(told)?)
+            let mut settings = harness::settings(&harness.site);
+            settings["woken"] = servers.to_vec().into();
+            Ok(serde_json::from_value(settings)?)
         };
-        house.router.apply_settings(&woken(&["i-9", "i-1"])?);
-        let answer = house.post("/r/x", "back").await?;
+        harness.router.apply_settings(&woken(&["i-9", "i-1"])?);
+        let answer = harness.post("/r/x", "back").await?;
         ensure_served_by(&answer, &[&near], "back")?;
         ensure!(woken(&["no id!"]).is_err(), "an invalid id was accepted");
         Ok(())
@@ -227,18 +235,18 @@
 
 /// What one box knows of a server, and how answers of the server change that.
 struct Observer {
-    desk: ChoiceHarness,
+    harness: ChoiceHarness,
     server: Rc<Backend>,
     start: Moment,
 }
 
 impl Observer {
     fn new() -> Result<Self> {
-        let desk = ChoiceHarness::new("hall-1", [1, 2])?;
-        let server = desk.backend(&id("i-1")?)?;
-        let start = desk.start;
+        let harness = ChoiceHarness::new("hall-1", [1, 2])?;
+        let server = harness.backend(&id("i-1")?)?;
+        let start = harness.start;
         Ok(Self {
-            desk,
+            harness,
             server,
             start,
         })
@@ -253,7 +261,7 @@
             retry_after: Some(ms(backoff)),
             ..Answer::default()
         };
-        self.desk
+        self.harness
             .fleet
             .apply_answer(&self.server, &answer, self.start + ms(at))
     }
@@ -290,7 +298,7 @@
         ..Answer::default()
     };
     observer
-        .desk
+        .harness
         .fleet
         .apply_answer(&observer.server, &success, observer.start + ms(300));
     ensure!(
@@ -305,12 +313,12 @@
 #[test]
 fn a_backoff_outlives_the_entry_and_not_the_incarnation() -> Result {
     let observer = Observer::new()?;
-    let fleet = &observer.desk.fleet;
+    let fleet = &observer.harness.fleet;
     observer.rejected(0, 60_000);
     let server = &observer.server.server;
     fleet.remove(&server.id);
     fleet.announce(server.clone(), observer.start + ms(100));
-    let back = observer.desk.backend(&server.id)?;
+    let back = observer.harness.backend(&server.id)?;
     ensure!(
         back.is_backing_off(observer.start + ms(1_000)),
         "the entry's return cancelled it"
@@ -326,7 +334,7 @@
     };
     fleet.announce(born(7), observer.start + ms(300));
     fleet.announce(born(8), observer.start + ms(400));
-    let new = observer.desk.backend(&server.id)?;
+    let new = observer.harness.backend(&server.id)?;
     ensure!(
         !new.is_backing_off(observer.start + ms(1_000)),
         "a new incarnation is backing off"
@@ -357,23 +365,25 @@
 /// A subject returns to the server that has it cached.
 #[test]
 fn a_subject_returns_after_the_backoff() -> Result {
-    let desk = ChoiceHarness::new("hall-1", 1..=6)?;
+    let harness = ChoiceHarness::new("hall-1", 1..=6)?;
     let prompt = choice_harness::prompt(5, choice_harness::LARGE);
-    let keeper = desk.send(&prompt)?;
+    let keeper = harness.send(&prompt)?;
     let rejected = Answer {
         status: 503,
         not_run: true,
         retry_after: Some(ms(60)),
         ..Answer::default()
     };
-    desk.fleet.apply_answer(&keeper, &rejected, Moment::now());
-    let meanwhile = desk.choose(Some(&prompt), &[])?;
+    harness
+        .fleet
+        .apply_answer(&keeper, &rejected, Moment::now());
+    let meanwhile = harness.choose(Some(&prompt), &[])?;
     ensure!(
         meanwhile.backend.key != keeper.key,
         "sent during the back-off"
     );
     std::thread::sleep(ms(90));
-    let after = desk.choose(Some(&prompt), &[])?;
+    let after = harness.choose(Some(&prompt), &[])?;
     ensure!(after.backend.key == keeper.key, "moved away for good");
     Ok(())
 }
--- a/crates/relay/tests/relay/crashing.rs
+++ b/crates/relay/tests/relay/crashing.rs
@@ -297,7 +297,7 @@
         })?;
         let way = box_harness::Proxy::open(&executor, server.address()).await?;
         site.announce_at(&server, way.address(), State::Ready);
-        let house = harness::Harness::start_ready(executor, site).await?;
+        let harness = harness::Harness::start_ready(executor, site).await?;
         for number in 0..5 {
             let attempt = format!("cut-{number}");
             let call = request("/o/x", &attempt, b"harmless");
@@ -308,18 +308,18 @@
                 way.mend();
                 Ok(())
             };
-            let (answer, ()) = futures_lite::future::try_zip(house.call(&call), cut).await?;
+            let (answer, ()) = futures_lite::future::try_zip(harness.call(&call), cut).await?;
             ensure!(answer.status == 502, "{answer:?}");
             // The box ejects the server for a while after failures in a row.
             let mut number = 0;
             wait_until("served again", async || {
                 number += 1;
                 let call = request("/o/y", &format!("{attempt}-{number}"), b"another");
-                Ok(house.call(&call).await?.status == 200)
+                Ok(harness.call(&call).await?.status == 200)
             })
             .await?;
         }
-        let known = house.router.relay().crashes.table.len();
+        let known = harness.router.relay().crashes.table.len();
         ensure!(known == 0, "{known} contents are suspected");
         Ok(())
     })
--- a/crates/relay/tests/relay/emptied_halls.rs
+++ b/crates/relay/tests/relay/emptied_halls.rs
@@ -192,9 +192,9 @@
 #[test]
 fn a_retry_does_not_go_to_an_emptied_hall() -> Result {
     run(async |executor| {
-        let (near, far, house) = start_with_two_servers(executor).await?;
-        let relay = house.router.relay();
-        house.site.empty_hall("hall-2");
+        let (near, far, harness) = start_with_two_servers(executor).await?;
+        let relay = harness.router.relay();
+        harness.site.empty_hall("hall-2");
         let service = id(crate::harness::SERVICE)?;
         wait_until("emptied", async || {
             Ok(relay.fleet.serving(&service).len() == 1)
@@ -203,7 +203,7 @@
         near.fault(Fault::Shed, u32::MAX);
         for number in 0..5 {
             let attempt = format!("{number}");
-            ensure_not_executed(&house.post("/r/x", &attempt).await?)?;
+            ensure_not_executed(&harness.post("/r/x", &attempt).await?)?;
             ensure!(
                 count_deliveries(&[&far], &attempt) == 0,
                 "retried in an emptied hall"
@@ -218,13 +218,13 @@
     run(async |executor| {
         let site = site()?;
         let server = site.server(stream_server_settings(1, 20, ms(60)))?;
-        let house = Harness::start_ready(executor.clone(), site).await?;
-        let front = house.router_address();
+        let harness = Harness::start_ready(executor.clone(), site).await?;
+        let front = harness.router_address();
         let call = post("/u/x", "long");
         let stream = executor.spawn(async move { Client::once(front, &call).await });
         wait_until("begun", async || Ok(server.running() == 1)).await?;
-        house.site.empty_hall("hall-1");
-        let fleet = &house.router.relay().fleet;
+        harness.site.empty_hall("hall-1");
+        let fleet = &harness.router.relay().fleet;
         let hall = id("hall-1")?;
         let service = id(crate::harness::SERVICE)?;
         wait_until("emptied", async || Ok(fleet.serving(&service).is_empty())).await?;
@@ -238,46 +238,46 @@
 #[test]
 fn without_a_server_outside_emptied_halls_requests_are_refused_at_once() -> Result {
     run(async |executor| {
-        let (near, far, house) = start_with_two_servers(executor).await?;
-        house.site.empty_hall("hall-1");
-        house.site.empty_hall("hall-2");
-        let fleet = &house.router.relay().fleet;
+        let (near, far, harness) = start_with_two_servers(executor).await?;
+        harness.site.empty_hall("hall-1");
+        harness.site.empty_hall("hall-2");
+        let fleet = &harness.router.relay().fleet;
         let service = id(crate::harness::SERVICE)?;
         wait_until("emptied", async || Ok(fleet.serving(&service).is_empty())).await?;
         for path in ["/r/x", "/o/x", "/s/x"] {
             let since = Instant::now();
-            let answer = house.post(path, path).await?;
+            let answer = harness.post(path, path).await?;
             ensure_not_executed(&answer)?;
             ensure!(since.elapsed() < ms(100), "after {:?}", since.elapsed());
             ensure!(answer.body == br#"{"error":"emptied"}"#, "{answer:?}");
             ensure!(count_deliveries(&[&near, &far], path) == 0, "sent");
         }
-        ensure!(house.is_ready().await, "not ready for other services");
-        house.site.take_back("hall-2");
+        ensure!(harness.is_ready().await, "not ready for other services");
+        harness.site.take_back("hall-2");
         wait_until("in use again", async || {
             Ok(fleet.serving(&service).len() == 1)
         })
         .await?;
-        ensure_served_by(&house.post("/r/x", "again").await?, &[&far], "again")
+        ensure_served_by(&harness.post("/r/x", "again").await?, &[&far], "again")
     })
 }
 
 #[test]
 fn an_entry_that_names_no_hall_harms_none() -> Result {
     run(async |executor| {
-        let (near, far, house) = start_with_two_servers(executor).await?;
+        let (near, far, harness) = start_with_two_servers(executor).await?;
         for key in ["", "No Hall", "a/b"] {
-            house
+            harness
                 .site
                 .store
                 .put(&format!("{}{key}", names::EMPTIED), &true.into());
         }
-        house.site.store.put("op/other", &7.into());
-        house.site.empty_hall("hall-1");
-        let fleet = &house.router.relay().fleet;
+        harness.site.store.put("op/other", &7.into());
+        harness.site.empty_hall("hall-1");
+        let fleet = &harness.router.relay().fleet;
         let service = id(crate::harness::SERVICE)?;
         wait_until("emptied", async || Ok(fleet.serving(&service).len() == 1)).await?;
-        ensure_served_by(&house.post("/r/x", "one").await?, &[&far], "one")?;
+        ensure_served_by(&harness.post("/r/x", "one").await?, &[&far], "one")?;
         ensure!(near.runs().is_empty(), "sent to an emptied hall");
         Ok(())
     })
@@ -286,22 +286,22 @@
 #[test]
 fn a_freshness_check_costs_one_call_though_a_hall_is_emptied() -> Result {
     run(async |executor| {
-        let (_near, _far, house) = start_with_two_servers(executor).await?;
-        house.site.empty_hall("hall-1");
-        let fleet = &house.router.relay().fleet;
+        let (_near, _far, harness) = start_with_two_servers(executor).await?;
+        harness.site.empty_hall("hall-1");
+        let fleet = &harness.router.relay().fleet;
         let service = id(crate::harness::SERVICE)?;
         wait_until("emptied", async || Ok(fleet.serving(&service).len() == 1)).await?;
         Timer::after(ms(900)).await;
-        let lists = house.site.store.calls("kv-range");
-        let proofs = house.site.store.calls("kv-txn");
+        let lists = harness.site.store.calls("kv-range");
+        let proofs = harness.site.store.calls("kv-txn");
         Timer::after(ms(2_500)).await;
-        ensure!(house.site.store.calls("kv-range") == lists, "read again");
-        let asked = house.site.store.calls("kv-txn") - proofs;
+        ensure!(harness.site.store.calls("kv-range") == lists, "read again");
+        let asked = harness.site.store.calls("kv-txn") - proofs;
         ensure!(
             (2..=4).contains(&asked),
             "{asked} freshness checks in 2.5 s"
         );
-        let age = house.router.relay().view.age();
+        let age = harness.router.relay().view.age();
         let age = age.ok_or_else(|| eyre!("never confirmed current"))?;
         ensure!(age < ms(1_200), "confirmed current {age:?} ago");
         Ok(())
@@ -362,9 +362,9 @@
             }
             let at = index.index(changes.len());
             if *whole {
-                let told = state(&changes, at + 1);
-                let same = known.merge(&told, None);
-                prop_assert_eq!(same, sorted(known.list()) == sorted(told));
+                let listed = state(&changes, at + 1);
+                let same = known.merge(&listed, None);
+                prop_assert_eq!(same, sorted(known.list()) == sorted(listed));
             } else {
                 let hall = format!("hall-{}", changes[at].hall).parse().expect("a name");
                 match changes[at].empty {
--- a/crates/relay/tests/relay/incarnations.rs
+++ b/crates/relay/tests/relay/incarnations.rs
@@ -34,16 +34,16 @@
 /// incarnation.
 #[test]
 fn a_new_incarnation_inherits_nothing_of_the_old_one() -> Result {
-    let desk = ChoiceHarness::new("hall-1", [])?;
+    let harness = ChoiceHarness::new("hall-1", [])?;
     let now = Instant::now();
     for number in 1..4 {
-        desk.fleet.announce(born(number, Some(10))?, now);
+        harness.fleet.announce(born(number, Some(10))?, now);
     }
     let prompt = prompt(1, LARGE);
-    let old = desk.send(&prompt)?;
+    let old = harness.send(&prompt)?;
     let id = old.server.id.clone();
     ensure!(
-        desk.places(&prompt).missing_tokens(old.key).tokens() == 0.0,
+        harness.places(&prompt).missing_tokens(old.key).tokens() == 0.0,
         "not recorded as cached"
     );
     old.record(Outcome::Unresponsive, now);
@@ -55,10 +55,10 @@
     };
     // Clocks may be set back: a smaller start time is a new incarnation as well.
     ensure!(
-        desk.fleet.announce(again.clone(), now) == Change::Restarted,
+        harness.fleet.announce(again.clone(), now) == Change::Restarted,
         "no new incarnation"
     );
-    let new = desk.backend(&id)?;
+    let new = harness.backend(&id)?;
     ensure!(!Rc::ptr_eq(&old, &new), "the same incarnation");
     ensure!(
         new.in_flight() == 0 && new.health.last_succeeded(),
@@ -69,14 +69,14 @@
         "the old incarnation accepts requests"
     );
     ensure!(new.cold_left(now) == Duration::from_secs(3), "warm");
-    let lacks = desk.places(&prompt).missing_tokens(new.key);
+    let lacks = harness.places(&prompt).missing_tokens(new.key);
     ensure!(
         lacks.unconfirmed == LARGE,
         "still taken to have it cached: {lacks:?}"
     );
     drop(running);
     ensure!(
-        desk.fleet.announce(again, now) == Change::None,
+        harness.fleet.announce(again, now) == Change::None,
         "one more incarnation"
     );
     Ok(())
@@ -125,7 +125,7 @@
 }
 
 /// An answer of another box that knows these servers as of a revision.
-fn told(rows: Vec<Row>, seen: u64) -> Answer {
+fn answer_with(rows: Vec<Row>, seen: u64) -> Answer {
     Answer {
         version: VERSION,
         number: 1,
@@ -152,13 +152,13 @@
         let known = relay.fleet.get(&id).ok_or_else(|| eyre!("unknown"))?;
         Ok((known.born(), known.accepts_requests()))
     };
-    let hear = |answer| follower.apply_answer(answer, None, Instant::now());
-    hear(told(vec![row(Some(7), 10, State::Ready)?], 10))?;
-    hear(told(vec![row(Some(9), 20, State::Ready)?], 20))?;
+    let apply = |answer| follower.apply_answer(answer, None, Instant::now());
+    apply(answer_with(vec![row(Some(7), 10, State::Ready)?], 10))?;
+    apply(answer_with(vec![row(Some(9), 20, State::Ready)?], 20))?;
     ensure!(incarnation()? == (Some(StartTime(9)), true), "not applied");
-    hear(told(vec![row(Some(7), 10, State::Ready)?], 12))?;
-    hear(told(vec![row(Some(7), 15, State::Draining)?], 15))?;
-    hear(told(vec![], 18))?;
+    apply(answer_with(vec![row(Some(7), 10, State::Ready)?], 12))?;
+    apply(answer_with(vec![row(Some(7), 15, State::Draining)?], 15))?;
+    apply(answer_with(vec![], 18))?;
     ensure!(
         incarnation()? == (Some(StartTime(9)), true),
         "the old incarnation is back"
@@ -204,7 +204,7 @@
     let (relay, follower) = follower()?;
     let answer = Answer {
         emptied: None,
-        ..told(vec![], 1)
+        ..answer_with(vec![], 1)
     };
     let taken = follower.apply_answer(answer, None, Instant::now());
     ensure!(
@@ -259,9 +259,9 @@
 #[test]
 fn a_new_incarnation_does_not_repeat_a_request_that_may_run_once() -> Result {
     run(async |executor| {
-        let (near, far, house) = start_with_two_servers(executor.clone()).await?;
+        let (near, far, harness) = start_with_two_servers(executor.clone()).await?;
         let entry = |birth: u64| {
-            house
+            harness
                 .site
                 .announce_with(&near, near.address(), State::Ready, |entry| {
                     entry["born"] = birth.into();
@@ -269,9 +269,9 @@
         };
         entry(1);
         let id = near.settings().id.parse()?;
-        let fleet = &house.router.relay().fleet;
+        let fleet = &harness.router.relay().fleet;
         near.fault(Fault::Hang, u32::MAX);
-        let front = house.router_address();
+        let front = harness.router_address();
         let call = post("/o/x", "once").leaving(ms(1_500));
         let sent =
             executor.spawn(async move { tidepier_relay_standin::Client::once(front, &call).await });
--- a/crates/relay/tests/relay/leaving.rs
+++ b/crates/relay/tests/relay/leaving.rs
@@ -33,7 +33,7 @@
 
 /// Sends requests of all kinds in turn for `time`; all have to be answered completely.
 pub(crate) async fn ask(
-    house: &Harness,
+    harness: &Harness,
     servers: &[&Server],
     name: &str,
     time: Duration,
@@ -45,7 +45,7 @@
         }
         let attempt = format!("{name}-{number}");
         let target = ["/r/x", "/o/x"][number % 2];
-        ensure_served_by(&house.post(target, &attempt).await?, servers, &attempt)?;
+        ensure_served_by(&harness.post(target, &attempt).await?, servers, &attempt)?;
         Timer::after(ms(10)).await;
     }
     Ok(())
@@ -60,17 +60,20 @@
 #[test]
 fn a_server_whose_answers_say_that_it_is_leaving_gets_nothing_more() -> Result {
     run(async |executor| {
-        let (near, far, house) = start_with_two_servers(executor).await?;
-        ask(&house, &[&near, &far], "before", ms(300)).await?;
-        house
+        let (near, far, harness) = start_with_two_servers(executor).await?;
+        ask(&harness, &[&near, &far], "before", ms(300)).await?;
+        harness
             .site
             .store
             .faults(|faults| faults.down = Some(Down::Busy));
         near.leave(true);
-        let told = Instant::now();
-        ask(&house, &[&near, &far], "after", LEAVE_TIME + ms(1_500)).await?;
-        ensure!(arrived_after(&near, told) > 0, "the case did not arise");
-        let late = arrived_after(&near, told + LEAVE_TIME);
+        let advertised_at = Instant::now();
+        ask(&harness, &[&near, &far], "after", LEAVE_TIME + ms(1_500)).await?;
+        ensure!(
+            arrived_after(&near, advertised_at) > 0,
+            "the case did not arise"
+        );
+        let late = arrived_after(&near, advertised_at + LEAVE_TIME);
         ensure!(late == 0, "{late} requests to a server that is leaving");
         Ok(())
     })
@@ -82,29 +85,29 @@
     run(async |executor| {
         let site = site()?;
         let leaves = site.server(server_settings(1))?;
-        let house = Harness::start_ready(executor, site).await?;
-        house.post("/o/x", "before").await?;
-        let stays = house.site.server(server_settings(2))?;
-        wait_until("known", async || Ok(house.knows(&stays))).await?;
+        let harness = Harness::start_ready(executor, site).await?;
+        harness.post("/o/x", "before").await?;
+        let stays = harness.site.server(server_settings(2))?;
+        wait_until("known", async || Ok(harness.knows(&stays))).await?;
         leaves.leave(true);
         if let Some(fault) = wrong {
             leaves.fault(fault, 1);
         }
         wait_until("asked", async || {
-            house
+            harness
                 .post(target, &format!("word-{}", leaves.runs().len()))
                 .await?;
             Ok(leaves.runs().len() > 1)
         })
         .await?;
-        let told = Instant::now();
+        let advertised_at = Instant::now();
         for number in 0..40 {
             let target = ["/r/x", "/o/x", "/s/x", "/u/x"][number % 4];
             let attempt = format!("after-{number}");
-            let answer = house.post(target, &attempt).await?;
+            let answer = harness.post(target, &attempt).await?;
             ensure!(answer.status == 200, "{answer:?}");
         }
-        let late = arrived_after(&leaves, told);
+        let late = arrived_after(&leaves, advertised_at);
         ensure!(
             late == 0,
             "{late} requests after the server said that it is leaving"
@@ -146,21 +149,21 @@
         let site = site()?;
         let leaves = site.server(stream_server_settings(1, 40, ms(40)))?;
         let stays = site.server(stream_server_settings(2, 2, ms(1)))?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         leaves.leave(true);
         wait_until("asked", async || {
             let call = post("/u/x", &format!("left-{}", leaves.runs().len())).leaving(ms(200));
-            house.call(&call).await?;
+            harness.call(&call).await?;
             Ok(!leaves.runs().is_empty())
         })
         .await?;
-        let told = Instant::now();
+        let advertised_at = Instant::now();
         for number in 0..20 {
-            let answer = house.post("/u/x", &format!("after-{number}")).await?;
+            let answer = harness.post("/u/x", &format!("after-{number}")).await?;
             ensure_served_by(&answer, &[&stays], &format!("after-{number}"))?;
         }
         ensure!(
-            arrived_after(&leaves, told) == 0,
+            arrived_after(&leaves, advertised_at) == 0,
             "sent after the server said that it is leaving"
         );
         Ok(())
@@ -173,21 +176,21 @@
     run(async |executor| {
         let site = site()?;
         let leaves = site.server(server_settings(1))?;
-        let house = Harness::start_ready(executor, site).await?;
-        house.post("/o/x", "before").await?;
+        let harness = Harness::start_ready(executor, site).await?;
+        harness.post("/o/x", "before").await?;
         leaves.slow(200.0);
         let test = async {
             wait_until("running", async || Ok(leaves.running() == 1)).await?;
             leaves.slow(1.0);
             leaves.leave(true);
-            house.post("/o/x", "word").await?;
-            let stays = house.site.server(server_settings(2))?;
-            wait_until("known", async || Ok(house.knows(&stays))).await?;
-            let answer = house.post("/o/x", "after").await?;
+            harness.post("/o/x", "word").await?;
+            let stays = harness.site.server(server_settings(2))?;
+            wait_until("known", async || Ok(harness.knows(&stays))).await?;
+            let answer = harness.post("/o/x", "after").await?;
             ensure_served_by(&answer, &[&stays], "after")
         };
         let call = post("/o/x", "long");
-        let (long, ()) = future::try_zip(house.call(&call), test).await?;
+        let (long, ()) = future::try_zip(harness.call(&call), test).await?;
         ensure_served_by(&long, &[&leaves], "long")
     })
 }
@@ -198,11 +201,11 @@
 #[test]
 fn a_route_whose_servers_are_all_leaving_is_refused_at_once() -> Result {
     run(async |executor| {
-        let (only, house) = start_with_one_server(executor).await?;
+        let (only, harness) = start_with_one_server(executor).await?;
         only.leave(true);
-        ensure_served_by(&house.post("/o/x", "word").await?, &[&only], "word")?;
+        ensure_served_by(&harness.post("/o/x", "word").await?, &[&only], "word")?;
         for number in 0..5 {
-            let answer = house.post("/r/x", &format!("after-{number}")).await?;
+            let answer = harness.post("/r/x", &format!("after-{number}")).await?;
             ensure_not_executed(&answer)?;
             ensure!(answer.elapsed < ms(200), "{:?}", answer.elapsed);
             let wait: f64 = answer.field(names::RETRY_AFTER).unwrap_or("0").parse()?;
@@ -230,46 +233,46 @@
             site.announce_with(&leaves, leaves.address(), State::Ready, born(life));
         };
         announce(&site, 7);
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         leaves.leave(true);
         wait_until("asked", async || {
-            house
+            harness
                 .post("/o/x", &format!("word-{}", stays.runs().len()))
                 .await?;
             Ok(!leaves.runs().is_empty())
         })
         .await?;
         leaves.leave(false);
-        let told = Instant::now();
+        let advertised_at = Instant::now();
         let sends = async |name: &str| -> Result<usize> {
             for number in 0..10 {
-                house.post("/o/x", &format!("{name}-{number}")).await?;
+                harness.post("/o/x", &format!("{name}-{number}")).await?;
             }
-            Ok(arrived_after(&leaves, told))
+            Ok(arrived_after(&leaves, advertised_at))
         };
-        announce(&house.site, 7);
+        announce(&harness.site, 7);
         Timer::after(ms(600)).await;
         ensure!(
             sends("again").await? == 0,
             "an entry with the state ready was applied"
         );
-        house.site.withdraw(&leaves);
-        wait_until("gone", async || Ok(!house.knows(&leaves))).await?;
-        announce(&house.site, 7);
-        wait_until("back", async || Ok(house.knows(&leaves))).await?;
+        harness.site.withdraw(&leaves);
+        wait_until("gone", async || Ok(!harness.knows(&leaves))).await?;
+        announce(&harness.site, 7);
+        wait_until("back", async || Ok(harness.knows(&leaves))).await?;
         ensure!(
             sends("back").await? == 0,
             "an entry that was announced again was applied"
         );
-        house.site.store.compact();
-        house.site.store.cut_watches();
-        announce(&house.site, 7);
+        harness.site.store.compact();
+        harness.site.store.cut_watches();
+        announce(&harness.site, 7);
         Timer::after(ms(1_200)).await;
         ensure!(
             sends("listed").await? == 0,
             "an entry in a list was applied"
         );
-        announce(&house.site, 8);
+        announce(&harness.site, 8);
         // The other server is slow now, so that requests are placed elsewhere.
         stays.slow(40.0);
         wait_until("new", async || Ok(sends("new").await? > 0)).await
@@ -280,45 +283,48 @@
 /// leaving, which concerns that server alone.
 #[test]
 fn a_server_that_took_over_an_address_advertises_for_itself_alone() -> Result {
-    let desk = ChoiceHarness::new("hall-1", [1, 2])?;
+    let harness = ChoiceHarness::new("hall-1", [1, 2])?;
     let (asked, other): (ids::Server, ids::Server) = (id("i-1")?, id("i-9")?);
     let taker = tidepier_core::server::Server {
         id: other.clone(),
-        address: desk.backend(&asked)?.server.address,
+        address: harness.backend(&asked)?.server.address,
         ..choice_harness::server(9, State::Ready)?
     };
-    desk.fleet.announce(taker, desk.start);
-    let serves = |id: &ids::Server| -> Result<bool> { Ok(desk.backend(id)?.accepts_requests()) };
-    let told = |status: u16, named: Option<&str>| -> Result<bool> {
+    harness.fleet.announce(taker, harness.start);
+    let serves = |id: &ids::Server| -> Result<bool> { Ok(harness.backend(id)?.accepts_requests()) };
+    let is_new_from = |status: u16, named: Option<&str>| -> Result<bool> {
         let answer = Answer {
             status,
             leaving: true,
             server: named.map(Into::into),
             ..Answer::default()
         };
-        let asked = desk.backend(&asked)?;
-        let said = desk
+        let asked = harness.backend(&asked)?;
+        let update = harness
             .fleet
             .apply_answer(&asked, &answer, tidepier_clock::Instant::now());
-        Ok(said.leaving)
+        Ok(update.leaving)
     };
-    ensure!(!told(421, None)?, "nobody is named");
-    ensure!(!told(421, Some("i-2"))?, "i-2 is at another address");
-    ensure!(!told(421, Some("i-77"))?, "i-77 is not known");
+    ensure!(!is_new_from(421, None)?, "nobody is named");
+    ensure!(!is_new_from(421, Some("i-2"))?, "i-2 is at another address");
+    ensure!(!is_new_from(421, Some("i-77"))?, "i-77 is not known");
     ensure!(
         serves(&asked)? && serves(&other)? && serves(&id("i-2")?)?,
         "an answer about an unknown server was applied"
     );
-    ensure!(told(421, Some("i-9"))?, "the answer was not applied to i-9");
+    ensure!(
+        is_new_from(421, Some("i-9"))?,
+        "the answer was not applied to i-9"
+    );
     ensure!(
         serves(&asked)? && !serves(&other)?,
         "the answer was applied to the wrong server"
     );
     ensure!(
-        told(200, None)? && !serves(&asked)?,
+        is_new_from(200, None)? && !serves(&asked)?,
         "the answer was not applied to the server that the request was for"
     );
-    ensure!(!told(200, Some("i-1"))?, "reported as new twice");
+    ensure!(!is_new_from(200, Some("i-1"))?, "reported as new twice");
     Ok(())
 }
 
@@ -326,19 +332,19 @@
 /// connection or for a cold server to admit it, is not sent.
 #[test]
 fn a_request_that_waited_until_the_server_was_leaving_is_not_sent() -> Result {
-    let desk = ChoiceHarness::new("hall-1", [1])?;
-    let server = desk.backend(&id("i-1")?)?;
+    let harness = ChoiceHarness::new("hall-1", [1])?;
+    let server = harness.backend(&id("i-1")?)?;
     let now = tidepier_clock::Instant::now();
-    let permit = desk.fleet.permit(&server, now);
+    let permit = harness.fleet.permit(&server, now);
     let permit = permit.map_err(|why| eyre!("{why}"))?;
     ensure!(permit.renewed(now).is_ok(), "ineligible from the start");
-    desk.drain(&id("i-1")?)?;
+    harness.drain(&id("i-1")?)?;
     ensure!(
         permit.renewed(now) == Err(Ineligible::Leaving),
         "still eligible"
     );
     ensure!(
-        desk.fleet.permit(&server, now).is_err(),
+        harness.fleet.permit(&server, now).is_err(),
         "a new permit was given"
     );
     Ok(())
--- a/crates/relay/tests/relay/slow.rs
+++ b/crates/relay/tests/relay/slow.rs
@@ -50,11 +50,11 @@
 }
 
 /// Sends requests at once on a route; all of them end in time.
-async fn all_end_in_time(house: &Harness, target: &str) -> Result {
+async fn all_end_in_time(harness: &Harness, target: &str) -> Result {
     let calls: Vec<_> = (0..CROWD)
         .map(|number| {
             let call = post(target, &format!("{target}{number}"));
-            let front = house.router_address();
+            let front = harness.router_address();
             smol::spawn(async move { Client::once(front, &call).await })
         })
         .collect();
@@ -78,12 +78,12 @@
             short("/shorto/", Kind::AtMostOnce),
         ]);
         let servers = [site.server(slow_server(1))?, site.server(slow_server(2))?];
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         for server in &servers {
             server.slow(SLOW);
         }
         for target in ["/shortr/x", "/shorto/x"] {
-            all_end_in_time(&house, target).await?;
+            all_end_in_time(&harness, target).await?;
         }
         Ok(())
     })
@@ -97,13 +97,13 @@
         let single = Kind::Stream { resumable: false };
         site.declare(&[short("/shorts/", resumable), short("/shortu/", single)]);
         let server = site.server(stream_server_settings(1, 400, ms(40)))?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         for target in ["/shorts/x", "/shortu/x"] {
             let mut times = Vec::new();
             // A busy machine may delay some of them.
             while times.len() < TRIES && times.iter().all(|time| *time >= MOST) {
                 let attempt = format!("{target}{}", times.len());
-                let answer = house.post(target, &attempt).await?;
+                let answer = harness.post(target, &attempt).await?;
                 ensure!(!answer.complete, "a stream that takes 16 s is complete");
                 times.push(answer.elapsed);
             }
@@ -126,11 +126,11 @@
     run(async |executor| {
         let site = site()?;
         let server = site.server(slow_server(1))?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         server.slow(SLOW);
         let mut clients = Vec::new();
         for number in 0..CROWD {
-            let mut client = Client::open(house.router_address()).await?;
+            let mut client = Client::open(harness.router_address()).await?;
             let call = post("/r/x", &format!("{number}")).leaving(ms(1));
             let answer = client.call(&call).await;
             ensure!(answer.end == End::Left, "{answer:?}");
@@ -152,9 +152,9 @@
 }
 
 /// A server's mean latency in ms, as known to a router.
-fn time_ms(house: &Harness, server: &Server) -> Result<f64> {
+fn time_ms(harness: &Harness, server: &Server) -> Result<f64> {
     let id = server.settings().id.parse()?;
-    let backend = house.router.relay().fleet.get(&id);
+    let backend = harness.router.relay().fleet.get(&id);
     let time = backend.and_then(|backend| backend.health.mean_latency_ms());
     time.ok_or_else(|| eyre!("{id} has no latency"))
 }
@@ -162,9 +162,9 @@
 #[test]
 fn a_server_is_not_slow_because_the_one_before_was_unresponsive() -> Result {
     run(async |executor| {
-        let (near, far, house) = start_with_two_servers(executor).await?;
+        let (near, far, harness) = start_with_two_servers(executor).await?;
         near.fault(Fault::Hang, 1);
-        let answer = house.post("/r/x", "a").await?;
+        let answer = harness.post("/r/x", "a").await?;
         ensure_served_by(&answer, &[&near, &far], "a")?;
         ensure!(count_deliveries(&[&near], "a") == 1, "it began elsewhere");
         ensure!(
@@ -172,7 +172,7 @@
             "it was not retried at the other server"
         );
         // The unresponsive server alone takes half a second.
-        let time = time_ms(&house, &far)?;
+        let time = time_ms(&harness, &far)?;
         ensure!(time < 400.0, "{time} ms");
         Ok(())
     })
@@ -188,16 +188,16 @@
             work,
             ..server_settings(1)
         })?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         let call = |attempt: &str| post("/r/x", attempt);
         let long = call("long").with(names::PROMPT, "5c1e:19000,91bd:1000");
-        ensure!(house.call(&long).await?.status == 200, "not served");
-        let time = time_ms(&house, &server)?;
+        ensure!(harness.call(&long).await?.status == 200, "not served");
+        let time = time_ms(&harness, &server)?;
         ensure!(time < 200.0, "{time} ms, with the prompt's reading");
         // Prompt parts that it has cached by now explain no delay.
         let again = call("again").with(names::PROMPT, "5c1e:19000,91be:10");
-        ensure!(house.call(&again).await?.status == 200, "not served");
-        let later = time_ms(&house, &server)?;
+        ensure!(harness.call(&again).await?.status == 200, "not served");
+        let later = time_ms(&harness, &server)?;
         ensure!(later > time + 30.0, "{later} ms after {time} ms");
         Ok(())
     })
@@ -218,11 +218,11 @@
             [format!("{head}Attempt-Id: {attempt}\r\n\r\n"), "no".into()]
         };
         let _server = late.start(&executor, &site, "i-1", failed)?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         let mut statuses = Vec::new();
         for number in 0..ERROR_TRIES {
             let call = post("/r/x", &number.to_string()).with(names::DEADLINE, "400");
-            statuses.push(house.call(&call).await?.status);
+            statuses.push(harness.call(&call).await?.status);
         }
         ensure!(statuses.contains(&500), "{statuses:?}");
         ensure!(!statuses.contains(&502), "{statuses:?}");
@@ -244,9 +244,9 @@
         };
         let engines = [site.server(reads(1))?, site.server(reads(2))?];
         let both = [&engines[0], &engines[1]];
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         let call = post("/s/x", "long").with(names::PROMPT, "a1:36000,b1:100");
-        let answer = house.call(&call).await?;
+        let answer = harness.call(&call).await?;
         ensure_served_by(&answer, &both, "long")?;
         ensure!(
             count_deliveries(&both, "long") == 1,
