--- a/crates/core/src/answer.rs
+++ b/crates/core/src/answer.rs
@@ -17,7 +17,7 @@
     /// Whether the server signed the answer as its own work.
     pub signed: bool,
     /// Whether the server states that the request did not run there and never will.
-    pub not_run: bool,
+    pub not_executed: bool,
     /// Whether the server states that it is leaving: it takes no new requests.
     pub leaving: bool,
     /// The server that answers, where it names itself.
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -25,7 +25,7 @@
 /// Time-out for opening a connection to a server: more than ten round trips between halls,
 /// and far less than the time after which a lost SYN is retransmitted. Nothing was sent by
 /// then, so another server can be tried at once.
-pub(crate) const CONNECT_TIME: Duration = Duration::from_millis(150);
+pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 /// A connection is closed when the server leaves data unacknowledged for this long.
 const UNACKED_TIMEOUT: Duration = Duration::from_secs(3);
 /// Largest head of an answer, in bytes.
@@ -49,13 +49,13 @@
 pub enum Cause {
     /// The server stopped taking new requests, which became known while the connection was
     /// being opened.
-    Withheld(Ineligible),
+    Ineligible(Ineligible),
     /// No connection.
     Connect(io::Error),
     /// The connection was lost before the head of the answer.
     Lost(Malformed),
     /// No answer before the deadline.
-    Late,
+    TimedOut,
     /// The answer names no attempt, or only other attempts.
     WrongAttempt,
     /// A success that the server did not sign.
@@ -84,10 +84,10 @@
     /// A short name for logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
-            Cause::Withheld(_) => "withheld",
+            Cause::Ineligible(_) => "withheld",
             Cause::Connect(_) => "connect",
             Cause::Lost(_) => "lost",
-            Cause::Late => "late",
+            Cause::TimedOut => "late",
             Cause::WrongAttempt => "foreign",
             Cause::Unsigned => "unsigned",
             Cause::Broken(_) => "broken",
@@ -101,10 +101,10 @@
 impl fmt::Display for Cause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Cause::Withheld(why) => why.fmt(f),
+            Cause::Ineligible(why) => why.fmt(f),
             Cause::Connect(error) => write!(f, "no connection: {error}"),
             Cause::Lost(error) => write!(f, "no answer: {error}"),
-            Cause::Late => f.write_str("no answer in time"),
+            Cause::TimedOut => f.write_str("no answer in time"),
             Cause::WrongAttempt => f.write_str("the answer names another attempt"),
             Cause::Unsigned => f.write_str("the success is not signed"),
             Cause::Broken(error) => write!(f, "the answer was cut off: {error}"),
@@ -119,7 +119,7 @@
 #[derive(Debug)]
 pub struct Failure {
     /// Whether the request was executed.
-    pub ran: Executed,
+    pub executed: Executed,
     /// Why there is no answer.
     pub cause: Cause,
 }
@@ -170,14 +170,14 @@
 pub async fn send(permit: &Permit, dispatch: &Dispatch<'_>) -> Result<Reply, Failure> {
     let backend = permit.backend();
     let running = backend.run(dispatch.prefill);
-    backend.health.sent(Instant::now());
+    backend.health.record_sent(Instant::now());
     let mut conn = connection(backend, dispatch).await?;
     // An answer to another request may meanwhile have reported that the server takes
     // nothing new.
-    permit.renewed(Instant::now()).map_err(ineligible)?;
+    permit.recheck(Instant::now()).map_err(ineligible)?;
     (dispatch.on_connected)();
     let exchanged = timeout::until(dispatch.deadline, exchange(&mut conn, dispatch)).await;
-    let (own, written_whole) = exchanged.unwrap_or_else(|| Err(maybe_executed(Cause::Late)))?;
+    let (own, written_whole) = exchanged.unwrap_or_else(|| Err(maybe_executed(Cause::TimedOut)))?;
     let OwnAnswer {
         head,
         answer,
@@ -207,14 +207,14 @@
 
 fn ineligible(why: Ineligible) -> Failure {
     Failure {
-        ran: Executed::No,
-        cause: Cause::Withheld(why),
+        executed: Executed::No,
+        cause: Cause::Ineligible(why),
     }
 }
 
 fn maybe_executed(cause: Cause) -> Failure {
-    let ran = Executed::Unknown;
-    Failure { ran, cause }
+    let executed = Executed::Unknown;
+    Failure { executed, cause }
 }
 
 async fn connection(backend: &Rc<Backend>, dispatch: &Dispatch<'_>) -> Result<Conn, Failure> {
@@ -222,16 +222,16 @@
         return Ok(conn);
     }
     let left = dispatch.deadline.saturating_duration_since(Instant::now());
-    let opened = open(backend, CONNECT_TIME.min(left)).await;
+    let opened = open(backend, CONNECT_TIMEOUT.min(left)).await;
     opened.map_err(|error| Failure {
-        ran: Executed::No,
+        executed: Executed::No,
         cause: Cause::Connect(error),
     })
 }
 
 /// Whether a server accepts a connection. The connection is pooled for the next request.
 pub(crate) async fn accepts_connection(backend: &Backend) -> bool {
-    match open(backend, CONNECT_TIME).await {
+    match open(backend, CONNECT_TIMEOUT).await {
         Ok(conn) => {
             backend.keep(conn, None);
             true
@@ -295,7 +295,7 @@
                 check_signature(&answer)?;
                 return Ok(own_answer(head, answer, earlier));
             }
-            None if answer.not_run => return Ok(own_answer(head, answer, earlier)),
+            None if answer.not_executed => return Ok(own_answer(head, answer, earlier)),
             Some(_) if earlier.len() < SKIPPED_MAX => {
                 earlier.push(answer);
                 metrics::counter!("tidepier_surplus_answers_total").increment(1);
--- a/crates/relay/src/choose.rs
+++ b/crates/relay/src/choose.rs
@@ -93,7 +93,7 @@
     pub rank: Option<usize>,
     /// Set when the server is cold: the time at which it may get the request. The request
     /// counts towards this box's share.
-    pub cold: Option<Instant>,
+    pub admission_time: Option<Instant>,
     /// The engine from which the server should copy the parts that it does not cache.
     pub copy_from: Option<Rc<Backend>>,
 }
@@ -171,7 +171,7 @@
         prefill_tokens: 0.0,
         prefill_time: Duration::ZERO,
         rank: None,
-        cold: criteria.filter.admission_time(backend, now),
+        admission_time: criteria.filter.admission_time(backend, now),
         copy_from: None,
     }
 }
--- a/crates/relay/src/choose/engine.rs
+++ b/crates/relay/src/choose/engine.rs
@@ -144,7 +144,7 @@
             rank: self.locations.rank(key),
             prefill_time: prefill_time(self.own_tokens + f64::from(missing.unconfirmed)),
             prefill_tokens: self.own_tokens + prefilled,
-            cold: self.criteria.filter.admission_time(backend, self.now),
+            admission_time: self.criteria.filter.admission_time(backend, self.now),
             copy_from: None,
         }
     }
--- a/crates/relay/src/choose/filter.rs
+++ b/crates/relay/src/choose/filter.rs
@@ -40,7 +40,7 @@
         }
         let server = &backend.server;
         let share = self.roster.share(&server.id, &server.hall, self.limit, now);
-        share.and_then(|share| backend.pace.next(share, now))
+        share.and_then(|share| backend.window.next(share, now))
     }
 
     /// Whether a server is cold: by its own report, or because it or its hall was
--- a/crates/relay/src/crash/probe.rs
+++ b/crates/relay/src/crash/probe.rs
@@ -73,7 +73,7 @@
 async fn has_crashed(backend: &Rc<Backend>) -> bool {
     for pause in PROBE_PAUSES {
         Timer::after(pause).await;
-        match attempt::open(backend, attempt::CONNECT_TIME).await {
+        match attempt::open(backend, attempt::CONNECT_TIMEOUT).await {
             Ok(conn) => {
                 if let Some(conn) = stays_open(conn).await {
                     backend.keep(conn, None);
--- a/crates/relay/src/crash/table.rs
+++ b/crates/relay/src/crash/table.rs
@@ -255,13 +255,13 @@
         })
     }
 
-    /// The contents that changed after sequence number `place`, at most `most` of them,
+    /// The contents that changed after sequence number `position`, at most `most` of them,
     /// and the sequence number from which to continue. The first call passes 0.
-    pub fn since(&self, place: u64, most: usize, scope: Scope, now: Instant) -> (Vec<Row>, u64) {
+    pub fn since(&self, position: u64, most: usize, scope: Scope, now: Instant) -> (Vec<Row>, u64) {
         let entries = self.entries.borrow();
         let order = self.order.borrow();
         let mut rows = Vec::new();
-        for (changed, content) in order.range(place + 1..) {
+        for (changed, content) in order.range(position + 1..) {
             if rows.len() == most {
                 return (rows, changed - 1);
             }
--- a/crates/relay/src/emptied_halls.rs
+++ b/crates/relay/src/emptied_halls.rs
@@ -99,20 +99,25 @@
 impl EmptiedHalls {
     /// Records an entry that asks to empty a hall. It is ignored where what is known
     /// takes precedence.
-    pub fn empty(&self, hall: ids::Hall, revision: Revision, precedence: Option<Precedence>) {
+    pub fn record_emptied(
+        &self,
+        hall: ids::Hall,
+        revision: Revision,
+        precedence: Option<Precedence>,
+    ) {
         self.stored.borrow_mut().insert(hall.clone(), revision);
         self.set(hall, true, revision, precedence);
     }
 
     /// Records that the operator cancelled the emptying of a hall.
-    pub fn take_back(&self, hall: ids::Hall, revision: Revision) {
+    pub fn cancel(&self, hall: ids::Hall, revision: Revision) {
         self.stored.borrow_mut().remove(&hall);
         self.set(hall, false, revision, None);
     }
 
     /// Records a request of an era before `era` that another box knows, if nothing is
     /// known of the hall.
-    pub fn recall(&self, row: &Row, era: Era) {
+    pub fn apply_stale(&self, row: &Row, era: Era) {
         if row.revision.era() >= era {
             return;
         }
@@ -132,10 +137,10 @@
             .iter()
             .map(|row| (row.hall.clone(), row.revision))
             .collect();
-        let is_former = |revision| precedence.is_some_and(|it| it.is_former(revision));
+        let is_stale = |revision| precedence.is_some_and(|it| it.is_stale(revision));
         for row in self.rows() {
-            if !listed.contains_key(&row.hall) && !is_former(row.revision) {
-                self.take_back(row.hall, list.seen);
+            if !listed.contains_key(&row.hall) && !is_stale(row.revision) {
+                self.cancel(row.hall, list.seen);
             }
         }
         for (hall, revision) in &listed {
@@ -144,9 +149,9 @@
         self.seen.set(self.seen.get().max(list.seen));
         let requests = self.requests.borrow();
         let agrees = |(hall, last): (&ids::Hall, &Request)| match listed.get(hall) {
-            None => !last.empty || is_former(last.revision),
+            None => !last.empty || is_stale(last.revision),
             Some(revision) if last.empty && last.revision == *revision => true,
-            Some(revision) => precedence.is_some_and(|it| it.keeps(last.revision, *revision)),
+            Some(revision) => precedence.is_some_and(|it| it.outranks(last.revision, *revision)),
         };
         let same = requests.iter().all(agrees);
         drop(requests);
@@ -198,7 +203,8 @@
         self.seen.set(self.seen.get().max(revision));
         let mut requests = self.requests.borrow_mut();
         if let Some(known) = requests.get(&hall) {
-            let takes_precedence = precedence.is_some_and(|it| it.keeps(known.revision, revision));
+            let takes_precedence =
+                precedence.is_some_and(|it| it.outranks(known.revision, revision));
             if known.revision >= revision || takes_precedence && known.empty != empty {
                 return;
             }
--- a/crates/relay/src/era_state.rs
+++ b/crates/relay/src/era_state.rs
@@ -44,12 +44,12 @@
     }
 
     /// Whether `known` takes precedence over a contradicting entry with this revision.
-    pub fn keeps(&self, known: Revision, entry: Revision) -> bool {
-        self.is_former(known) && entry <= self.first
+    pub fn outranks(&self, known: Revision, entry: Revision) -> bool {
+        self.is_stale(known) && entry <= self.first
     }
 
     /// Whether a revision is of a stale era.
-    pub fn is_former(&self, known: Revision) -> bool {
+    pub fn is_stale(&self, known: Revision) -> bool {
         known.era() < self.first.era()
     }
 }
@@ -125,7 +125,7 @@
 
 /// Times after which some evidence counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Waits {
+pub struct Delays {
     /// Time after trouble with the store after which its entries are authoritative
     /// again.
     pub stable: Duration,
@@ -164,7 +164,7 @@
     }
 
     /// Whether evidence is still missing that the operator entries are complete.
-    pub fn is_open(&self) -> bool {
+    pub fn is_unsettled(&self) -> bool {
         match self.known.get() {
             Some(known) => known.evidence.is_none(),
             None => !self.first_start.get(),
@@ -231,18 +231,18 @@
         }
     }
 
-    /// Like [`Self::hold`], but only if what was known was younger than `within` when the
+    /// Like [`Self::precedence`], but only if what was known was younger than `within` when the
     /// era began: otherwise the backup may be newer. An unknown age counts as young: a box
     /// that has just started knows only what others have reported since.
-    pub fn hold_recent(&self, within: Duration, now: Instant) -> Option<Precedence> {
+    pub fn recent_precedence(&self, within: Duration, now: Instant) -> Option<Precedence> {
         let known = self.known.get()?;
         let recent = known.prior.age.is_none_or(|age| age < within);
-        self.hold(within, now).filter(|_| recent)
+        self.precedence(within, now).filter(|_| recent)
     }
 
     /// The precedence of state known from stale eras, while the era is younger than
     /// `within`.
-    pub fn hold(&self, within: Duration, now: Instant) -> Option<Precedence> {
+    pub fn precedence(&self, within: Duration, now: Instant) -> Option<Precedence> {
         let known = self.known.get()?;
         let young = now.saturating_duration_since(known.since) < within;
         young.then(|| Precedence::new(Revision::new(known.era, known.first)))
@@ -256,13 +256,13 @@
     }
 
     /// Records that other boxes were queried for what they know.
-    pub fn ask(&self) {
+    pub fn mark_peers_queried(&self) {
         self.peers_queried.set(true);
     }
 
     /// Whether a box may serve with what it knows. A box that has just started may not,
     /// until it has queried whether other boxes know more than the store.
-    pub fn may_begin(&self) -> bool {
+    pub fn may_serve(&self) -> bool {
         let known = self.known.get();
         let starts = known.is_some_and(|it| it.evidence.is_none() && it.prior.in_force.is_none());
         !starts || self.peers_queried.get()
@@ -285,7 +285,7 @@
         &self,
         stored: Option<Entry>,
         in_force: Option<Version>,
-        waits: Waits,
+        delays: Delays,
         now: Instant,
     ) -> Option<Evidence> {
         let known = self.known.get()?;
@@ -299,9 +299,9 @@
         let is_same = known.prior.in_force == version && version == in_force;
         if written && !is_behind {
             Some(Evidence::Written)
-        } else if is_same && self.peers_queried.get() && age >= waits.stable {
+        } else if is_same && self.peers_queried.get() && age >= delays.stable {
             Some(Evidence::Same)
-        } else if age >= waits.rewrite {
+        } else if age >= delays.rewrite {
             Some(Evidence::Waited)
         } else {
             None
--- a/crates/relay/src/exchange/admission.rs
+++ b/crates/relay/src/exchange/admission.rs
@@ -38,7 +38,7 @@
     })?;
     let denied = |kind| (kind, request.attempt.clone());
     let catalog = relay.view.catalog();
-    let catalog = catalog.filter(|_| relay.standing.may_begin());
+    let catalog = catalog.filter(|_| relay.era_state.may_serve());
     let catalog = catalog.ok_or_else(|| denied(refusal::Kind::NotReady))?;
     let (route, account) = look_up(relay, &catalog, &request).map_err(denied)?;
     let service = pick_service(&route);
@@ -126,10 +126,10 @@
 }
 
 /// The refusal for a catalog that is too old. With `Stale` another box may have a
-/// newer catalog; with `Behind` none has, as the store went back to an older copy.
+/// newer catalog; with `StoreBehind` none has, as the store went back to an older copy.
 fn stale_refusal(relay: &Relay) -> refusal::Kind {
-    if relay.standing.era().is_some() && relay.standing.is_open() {
-        refusal::Kind::Behind
+    if relay.era_state.era().is_some() && relay.era_state.is_unsettled() {
+        refusal::Kind::StoreBehind
     } else {
         refusal::Kind::Stale
     }
--- a/crates/relay/src/exchange/report.rs
+++ b/crates/relay/src/exchange/report.rs
@@ -55,7 +55,7 @@
     /// Records a failed attempt: in the log, the metrics, the health of the server,
     /// the evidence for a rollout, and the suspects of a crash.
     pub(crate) fn record_failure(&mut self, backend: &Rc<Backend>, failure: &Failure) {
-        if failure.ran == Executed::Unknown {
+        if failure.executed == Executed::Unknown {
             self.may_have_executed = true;
         }
         if let Some(outcome) = self.health_outcome(failure) {
@@ -81,7 +81,7 @@
             backend.server.id,
             failure.cause.name(),
             failure.cause,
-            failure.ran,
+            failure.executed,
             self.arrival.at.elapsed().as_millis(),
             backend.health.failure_rate(Instant::now()),
         );
@@ -96,11 +96,11 @@
                 Some(health::Outcome::NotListening)
             }
             Cause::Connect(_) | Cause::Stalled => Some(health::Outcome::Unresponsive),
-            Cause::Withheld(_) => None,
+            Cause::Ineligible(_) => None,
             Cause::Refused(answer::MISDIRECTED) => Some(health::Outcome::NotListening),
             Cause::Refused(_) => Some(health::Outcome::Succeeded),
             // The client's deadline may have been too short for any server.
-            Cause::Late => {
+            Cause::TimedOut => {
                 let waited = self.arrival.at.elapsed();
                 (waited > silence_threshold(self.route.objective))
                     .then_some(health::Outcome::Unresponsive)
@@ -195,8 +195,8 @@
         Cause::Error(_) | Cause::Unsigned | Cause::Broken(_) | Cause::Lost(_) => {
             Some(Outcome::Failed)
         }
-        Cause::Late | Cause::Stalled => Some(Outcome::Late),
-        Cause::Withheld(_) | Cause::Connect(_) | Cause::WrongAttempt | Cause::Refused(_) => None,
+        Cause::TimedOut | Cause::Stalled => Some(Outcome::TimedOut),
+        Cause::Ineligible(_) | Cause::Connect(_) | Cause::WrongAttempt | Cause::Refused(_) => None,
     }
 }
 
--- a/crates/relay/src/exchange/retry.rs
+++ b/crates/relay/src/exchange/retry.rs
@@ -41,11 +41,11 @@
         backend: &Rc<Backend>,
         reply: Reply,
     ) -> Result<Reply, Failure> {
-        if reply.answer.not_run {
+        if reply.answer.not_executed {
             let status = reply.answer.status;
             discard::body(backend, reply, self.deadline).await;
             return Err(Failure {
-                ran: Executed::No,
+                executed: Executed::No,
                 cause: Cause::Refused(status),
             });
         }
@@ -60,7 +60,7 @@
             let fallback = stream::read_fallback(self, backend, reply).await;
             self.fallback = fallback.or(self.fallback.take());
             return Err(Failure {
-                ran: Executed::Unknown,
+                executed: Executed::Unknown,
                 cause: Cause::Error(status),
             });
         }
@@ -82,7 +82,7 @@
         }
         match &failure.cause {
             // Nothing was sent, and the server will not be chosen again.
-            Cause::Withheld(_) => {
+            Cause::Ineligible(_) => {
                 self.attempts -= 1;
                 Ok(())
             }
@@ -101,7 +101,7 @@
                 self.count_absent();
                 self.charge_or_refuse(failure)
             }
-            _ if failure.ran == Executed::No || self.route.kind.repeatable() => {
+            _ if failure.executed == Executed::No || self.route.kind.repeatable() => {
                 self.charge_or_refuse(failure)
             }
             _ => Err(self.final_refusal(failure)),
@@ -159,12 +159,14 @@
 
     fn final_refusal(&self, failure: &Failure) -> refusal::Kind {
         match (&failure.cause, self.may_have_executed) {
-            (Cause::Late, true) => refusal::Kind::Late,
+            (Cause::TimedOut, true) => refusal::Kind::Late,
             (_, true) => refusal::Kind::Lost,
-            (Cause::Late, false) => refusal::Kind::TimeOver,
-            (Cause::Connect(error), false) if is_connection_refused(error) => refusal::Kind::Down,
+            (Cause::TimedOut, false) => refusal::Kind::Expired,
+            (Cause::Connect(error), false) if is_connection_refused(error) => {
+                refusal::Kind::ServersDown
+            }
             (
-                Cause::Connect(_) | Cause::Withheld(_) | Cause::Refused(answer::MISDIRECTED),
+                Cause::Connect(_) | Cause::Ineligible(_) | Cause::Refused(answer::MISDIRECTED),
                 false,
             ) => refusal::Kind::NoServer,
             (_, false) => refusal::Kind::Full,
--- a/crates/relay/src/exchange/send.rs
+++ b/crates/relay/src/exchange/send.rs
@@ -61,7 +61,7 @@
     ) -> Result<(Rc<Backend>, Result<Reply, Failure>), refusal::Kind> {
         let (choice, permit) = self.place().await?;
         let backend = choice.backend.clone();
-        let sent_at = choice.cold.unwrap_or_else(Instant::now);
+        let sent_at = choice.admission_time.unwrap_or_else(Instant::now);
         self.last_attempt = Start {
             at: Instant::now(),
             prefill_time: choice.prefill_time,
@@ -70,7 +70,7 @@
         let bytes = self.encode(&choice, resume_after);
         let max_idle = self.max_idle(&backend);
         let connected = || {
-            backend.pace.reschedule(sent_at, Instant::now());
+            backend.window.reschedule(sent_at, Instant::now());
             self.record_sent_prompt(&backend);
         };
         let dispatch = Dispatch {
@@ -105,16 +105,16 @@
             self.check_not_crashing()?;
             let choice = match self.choose(&selector, Duration::ZERO) {
                 // Servers of the old release take requests that the canaries cannot.
-                Err(_) if selector.is_trial() => {
+                Err(_) if selector.is_canary() => {
                     selector = selector.others();
                     continue;
                 }
                 Err(refusal::Kind::Cold) => self.choose(&selector, COLD_WAIT_MAX)?,
                 chosen => chosen?,
             };
-            if let Some(at) = choice.cold {
+            if let Some(at) = choice.admission_time {
                 // Reserve the slot before the wait, so that no later request takes it.
-                choice.backend.pace.sent(at);
+                choice.backend.window.sent(at);
                 tidepier_clock::sleep_until(at).await;
                 // The content may have been found to crash servers during the wait.
                 self.check_not_crashing()?;
@@ -311,7 +311,7 @@
         }
         if is_silent() {
             return Err(Failure {
-                ran: Executed::Unknown,
+                executed: Executed::Unknown,
                 cause: Cause::Stalled,
             });
         }
--- a/crates/relay/src/exchange/stream/events.rs
+++ b/crates/relay/src/exchange/stream/events.rs
@@ -185,14 +185,14 @@
 /// as a failure of the server, as it does at the first attempt.
 fn resume_failure(reply: &Reply) -> Failure {
     let status = reply.answer.status;
-    let not_run = reply.answer.not_run;
+    let not_executed = reply.answer.not_executed;
     Failure {
-        ran: if not_run {
+        executed: if not_executed {
             Executed::No
         } else {
             Executed::Unknown
         },
-        cause: if status >= 500 && !not_run {
+        cause: if status >= 500 && !not_executed {
             Cause::Error(status)
         } else {
             Cause::Refused(status)
@@ -280,7 +280,7 @@
     let read = async {
         let read = reply.body.read(&mut reply.conn, events.buffer()).await;
         read.map_err(|error| Failure {
-            ran: Executed::Unknown,
+            executed: Executed::Unknown,
             cause: Cause::Broken(error),
         })
     };
@@ -288,10 +288,10 @@
         let cause = if until < exchange.deadline {
             Cause::Stalled
         } else {
-            Cause::Late
+            Cause::TimedOut
         };
         Err(Failure {
-            ran: Executed::Unknown,
+            executed: Executed::Unknown,
             cause,
         })
     };
--- a/crates/relay/src/exchange/stream/whole.rs
+++ b/crates/relay/src/exchange/stream/whole.rs
@@ -106,14 +106,14 @@
     let read = async {
         let rest = reply.body.rest(&mut reply.conn, Some(body), max_bytes);
         rest.await.map_err(|error| Failure {
-            ran: Executed::Unknown,
+            executed: Executed::Unknown,
             cause: Cause::Broken(error.into()),
         })
     };
     let late = || {
         Err(Failure {
-            ran: Executed::Unknown,
-            cause: Cause::Late,
+            executed: Executed::Unknown,
+            cause: Cause::TimedOut,
         })
     };
     timeout::until(limit, read).await.unwrap_or_else(late)
--- a/crates/relay/src/fleet/backend.rs
+++ b/crates/relay/src/fleet/backend.rs
@@ -98,7 +98,7 @@
     /// cold.
     unreachable_at: Cell<Option<Instant>>,
     /// What this box has sent while the server was cold.
-    pub pace: Window,
+    pub window: Window,
     /// When data last came from the server.
     last_received: Cell<Option<Instant>>,
     /// Prompt tokens that this box has sent and whose answers have not started.
@@ -146,7 +146,7 @@
             born: Cell::new(server.born),
             cold: Cell::new(until(server.cold, now)),
             unreachable_at: Cell::new(None),
-            pace: Window::default(),
+            window: Window::default(),
             server,
             health: Health::default(),
             missing: Cell::new(false),
--- a/crates/relay/src/fleet/mod.rs
+++ b/crates/relay/src/fleet/mod.rs
@@ -270,7 +270,7 @@
     }
 
     /// Numbers of servers that are leaving and of servers backing off.
-    pub fn withheld(&self, now: Instant) -> (usize, usize) {
+    pub fn count_ineligible(&self, now: Instant) -> (usize, usize) {
         let servers = self.servers.borrow();
         let leaving = servers
             .values()
--- a/crates/relay/src/fleet/permit.rs
+++ b/crates/relay/src/fleet/permit.rs
@@ -28,7 +28,7 @@
     /// # Errors
     ///
     /// Returns the reason if the server no longer accepts new requests.
-    pub fn renewed(&self, now: Instant) -> Result<(), Ineligible> {
+    pub fn recheck(&self, now: Instant) -> Result<(), Ineligible> {
         self.0.check_eligible(now)
     }
 }
--- a/crates/relay/src/fleet/watch.rs
+++ b/crates/relay/src/fleet/watch.rs
@@ -22,7 +22,7 @@
         for id in fleet.expire_backoffs(now) {
             log::info!(target: "belief", "event=rest_over server={id} why=time");
         }
-        let (leaving, backing_off) = fleet.withheld(now);
+        let (leaving, backing_off) = fleet.count_ineligible(now);
         metrics::gauge!("tidepier_servers_leaving").set(leaving as f64);
         metrics::gauge!("tidepier_servers_resting").set(backing_off as f64);
     }
--- a/crates/relay/src/follow.rs
+++ b/crates/relay/src/follow.rs
@@ -95,7 +95,7 @@
     emptied: EmptiedHalls,
     /// Notified when `emptied` changed.
     emptied_changed: Notifier,
-    record: History,
+    history: History,
     /// Withheld entries: backup entries that contradict what their servers advertised
     /// before the restore.
     withheld: RefCell<BTreeMap<ids::Server, Row>>,
@@ -126,7 +126,7 @@
     /// Number of changes that other boxes have to be notified of.
     change_count: Cell<u64>,
     /// Notified with each such change.
-    news: Notifier,
+    changed: Notifier,
 }
 
 impl Follower {
@@ -145,7 +145,7 @@
             document: RefCell::new(Rc::new([])),
             emptied: EmptiedHalls::default(),
             emptied_changed: Notifier::default(),
-            record: History::default(),
+            history: History::default(),
             withheld: RefCell::default(),
             synced_at: Cell::new(None),
             reads_store: Cell::new(false),
@@ -159,7 +159,7 @@
             boxes_before: Cell::new(0),
             store_returned: Notifier::default(),
             change_count: Cell::new(0),
-            news: Notifier::default(),
+            changed: Notifier::default(),
         })
     }
 
@@ -206,7 +206,7 @@
     /// everything in the store.
     fn view_age(&self) -> Option<Duration> {
         let now = Instant::now();
-        if self.relay.standing.is_settled() {
+        if self.relay.era_state.is_settled() {
             self.relay.view.age_at(now)
         } else {
             self.synced_age(now)
@@ -255,7 +255,7 @@
     /// Counts a change and notifies the tasks that wait for one.
     fn record_change(&self) {
         self.change_count.set(self.change_count.get() + 1);
-        self.news.notify();
+        self.changed.notify();
     }
 
     /// Number of changes of the local view so far.
@@ -264,8 +264,8 @@
     }
 
     /// Waits for the next change of the local view.
-    pub async fn news(&self) {
-        self.news.wait().await;
+    pub async fn wait_for_change(&self) {
+        self.changed.wait().await;
     }
 
     /// Whether this box may wait until the box that it follows can confirm its view
@@ -303,18 +303,19 @@
     }
 
     /// The history of server changes.
-    pub fn record(&self) -> &History {
-        &self.record
+    pub fn history(&self) -> &History {
+        &self.history
     }
 
     /// Applies a server's entry.
     fn apply_row(&self, row: Row, batch: &mut Batch) {
         // The entry may come from a box that knows an older state of the store.
-        if self.record.is_outdated(&row) {
+        if self.history.is_outdated(&row) {
             return;
         }
-        let hold = self.hold_servers();
-        if hold.is_some_and(|hold| self.record.takes_precedence_over(&row, hold)) {
+        let precedence = self.server_precedence();
+        if precedence.is_some_and(|precedence| self.history.takes_precedence_over(&row, precedence))
+        {
             batch.add_id(change_log::Change::Withheld, row.id());
             self.withheld.borrow_mut().insert(row.id().clone(), row);
             self.entries_held.notify();
@@ -332,8 +333,8 @@
         // A server rewrites its entry about every second while it is cold. When each
         // rewrite counted as a change, 300 boxes before 3,000 servers that had all just
         // started were sent the whole list of servers for each request.
-        if is_change || !self.record.refresh(&row) {
-            self.record.upsert(row);
+        if is_change || !self.history.refresh(&row) {
+            self.history.upsert(row);
             self.record_change();
         }
         let change = match change {
@@ -356,13 +357,15 @@
     /// two seconds, and 483 do with this rule. An entry alone replaces no server, since
     /// another writer may have made it.
     fn replace_at_address(&self, id: &ids::Server, revision: Revision) {
-        if self.hold_servers().is_some() && self.relay.standing.origin(revision) == Origin::Backup {
+        if self.server_precedence().is_some()
+            && self.relay.era_state.origin(revision) == Origin::Backup
+        {
             return;
         }
         let fleet = &self.relay.fleet;
         for other in fleet.sharing_address(id) {
             let was_unreachable = fleet.get(&other).is_some_and(|it| it.was_unreachable());
-            if was_unreachable && !self.record.knows_newer(&other, revision) {
+            if was_unreachable && !self.history.knows_newer(&other, revision) {
                 fleet.mark_replaced(&other);
             }
         }
@@ -379,7 +382,7 @@
         let Some(backend) = self.relay.fleet.remove(id) else {
             return;
         };
-        self.record.remove(id, seen);
+        self.history.remove(id, seen);
         self.record_change();
         batch.add(change, &backend.server, seen);
     }
--- a/crates/relay/src/follow/boxes.rs
+++ b/crates/relay/src/follow/boxes.rs
@@ -54,9 +54,9 @@
         let age = age.filter(|age| complete && *age < self.bound(PASS_ON_PART));
         let stored = self.stored_entry.get().map(|entry| entry.version);
         Status {
-            era: self.relay.standing.era().unwrap_or_default().0,
-            first: self.relay.standing.first(),
-            settled: self.relay.standing.is_settled(),
+            era: self.relay.era_state.era().unwrap_or_default().0,
+            first: self.relay.era_state.first(),
+            settled: self.relay.era_state.is_settled(),
             in_force: self.relay.view.version().0,
             stored: stored.unwrap_or_default().0,
             state: self.stored_state.get().number(),
@@ -66,7 +66,7 @@
 
     /// The changes of servers after `position`, and the position after them.
     pub fn servers_after(&self, position: Position) -> (Servers, Position) {
-        let (mut servers, position) = self.record.since(position);
+        let (mut servers, position) = self.history.since(position);
         let now = Instant::now();
         let fresh = |row: &mut Row| {
             let backend = self.relay.fleet.get(row.id());
@@ -95,7 +95,7 @@
             let backend = self.relay.fleet.get(id);
             backend.map_or(Duration::ZERO, |it| it.cold_left(now))
         };
-        let (mut part, position) = self.record.part(cursor);
+        let (mut part, position) = self.history.part(cursor);
         part.set_cold(cold);
         (part, position)
     }
@@ -140,7 +140,7 @@
     ) -> Result<(), Error> {
         sender_synced_age(answer).ok_or(Error::Unconfirmed)?;
         let era = self.answer_era(answer)?;
-        if answer.standing.is_none() {
+        if answer.status.is_none() {
             *answer = answer.clone().in_era(era);
         }
         let emptied = answer.emptied.as_ref().ok_or(Error::Unconfirmed)?;
@@ -150,7 +150,7 @@
         }
         if let Some(list) = &answer.rollouts {
             let rollouts = &self.relay.rollouts;
-            rollouts.merge(list, self.hold(), Instant::now());
+            rollouts.merge(list, self.rollout_precedence(), Instant::now());
         }
         let none = Servers::Changes(Vec::new());
         self.apply_servers(std::mem::replace(&mut answer.servers, none), era);
@@ -164,9 +164,9 @@
     ///
     /// That era is over.
     fn answer_era(&self, answer: &Answer) -> Result<Era, Error> {
-        let known = self.relay.standing.era();
-        let Some(status) = answer.standing else {
-            let changed = self.relay.standing.has_changed();
+        let known = self.relay.era_state.era();
+        let Some(status) = answer.status else {
+            let changed = self.relay.era_state.has_changed();
             return if changed {
                 Err(Error::StaleEra)
             } else {
@@ -198,7 +198,7 @@
     ) -> Result<(), Error> {
         let age = sender_synced_age(&answer).ok_or(Error::Unconfirmed)?;
         let era = self.answer_era(&answer)?;
-        let answer = match answer.standing {
+        let answer = match answer.status {
             Some(_) => answer,
             None => answer.in_era(era),
         };
@@ -213,10 +213,10 @@
         if halls_known && known {
             self.record_synced(asked.checked_sub(age).unwrap_or(asked));
         }
-        if answer.standing.is_some_and(|standing| standing.settled) {
+        if answer.status.is_some_and(|status| status.settled) {
             self.settle(Evidence::Report);
         }
-        let confirmed = match answer.standing {
+        let confirmed = match answer.status {
             Some(_) => answer.known_ms.map(Duration::from_millis),
             None => Some(age),
         };
@@ -232,7 +232,7 @@
     fn apply_configuration(&self, answer: &Answer, document: Option<Vec<u8>>, era: Era) -> bool {
         let revision = Revision::new(era, answer.revision);
         let read = document.map(|bytes| self.adopt_document(bytes, revision));
-        let Some(status) = answer.standing else {
+        let Some(status) = answer.status else {
             // A box that runs an older release sends only the store's entry.
             let version = match read {
                 Some(version) => version.filter(|_| revision > self.revision()),
@@ -270,7 +270,7 @@
         asked: Instant,
     ) -> Result<(), Error> {
         let era = self.answer_era(&answer)?;
-        let answer = match answer.standing {
+        let answer = match answer.status {
             Some(_) => answer,
             None => answer.in_era(era),
         };
@@ -297,7 +297,7 @@
     /// halls to be emptied, rollout orders, and whether the operator entries are
     /// complete in this era.
     pub fn apply_recalled(&self, answer: &Answer, document: Option<Vec<u8>>, asked: Instant) {
-        let Some(status) = answer.standing else {
+        let Some(status) = answer.status else {
             return;
         };
         let revision = Revision::new(Era(status.era), answer.revision);
@@ -305,9 +305,9 @@
             self.adopt_document(document, revision);
         }
         if let Some(list) = &answer.emptied {
-            let era = self.relay.standing.era().unwrap_or_default();
+            let era = self.relay.era_state.era().unwrap_or_default();
             for row in &list.rows {
-                self.emptied.recall(row, era);
+                self.emptied.apply_stale(row, era);
             }
             self.apply_emptied();
             self.entries_held.notify();
@@ -315,7 +315,7 @@
         if let Some(list) = &answer.rollouts {
             self.relay.rollouts.recall(list, Instant::now());
         }
-        let same_era = Some(Era(status.era)) == self.relay.standing.era();
+        let same_era = Some(Era(status.era)) == self.relay.era_state.era();
         let knows = self.relay.view.version() >= status.in_force();
         let confirmed = answer.known_ms.map(Duration::from_millis);
         let recent = confirmed.filter(|age| *age < self.bound(PASS_ON_PART));
@@ -343,7 +343,7 @@
         let mut batch = Batch::new();
         let Some(piece) = &part.piece else {
             self.apply_changes(part, &mut batch);
-            self.record.confirm(part.complete_revision());
+            self.history.confirm(part.complete_revision());
             batch.write();
             return;
         };
@@ -366,14 +366,14 @@
                     self.remove_reported(&id, list.seen, &mut batch);
                 }
             }
-            self.record.confirm(list.seen);
+            self.history.confirm(list.seen);
             *listing = None;
         }
         batch.write();
     }
 
     fn apply_changes(&self, part: &Part, batch: &mut Batch) {
-        for (id, seen) in part.gone() {
+        for (id, seen) in part.removed() {
             self.remove_reported(id, seen, batch);
         }
         part.rows().for_each(|row| self.apply_row(row, batch));
@@ -414,7 +414,7 @@
     /// Drops a server that another box reports as gone, unless that box knows an older
     /// state of the store.
     fn remove_reported(&self, id: &ids::Server, seen: Revision, batch: &mut Batch) {
-        if !self.record.knows_newer(id, seen) {
+        if !self.history.knows_newer(id, seen) {
             self.drop_server(id, seen, change_log::Change::Gone, batch);
         }
     }
@@ -423,8 +423,8 @@
 /// Time since the sender of an answer knew everything in the store; `None` if it cannot
 /// tell.
 fn sender_synced_age(answer: &Answer) -> Option<Duration> {
-    let age = match &answer.standing {
-        Some(standing) => standing.followed_ms,
+    let age = match &answer.status {
+        Some(status) => status.followed_ms,
         None => answer.age_ms,
     };
     age.map(Duration::from_millis)
--- a/crates/relay/src/follow/catalog.rs
+++ b/crates/relay/src/follow/catalog.rs
@@ -38,7 +38,7 @@
 
 impl Follower {
     /// Follows the catalog while this box reads the store; does not end.
-    pub async fn catalog(self: Rc<Self>) {
+    pub async fn follow_catalog(self: Rc<Self>) {
         let mut delay = Delay::default();
         loop {
             self.wait_until_readable().await;
@@ -75,7 +75,7 @@
     }
 
     pub(super) async fn read_operator_now(&self, limit: Duration) -> Result<Revision, Failure> {
-        if self.relay.standing.is_open() {
+        if self.relay.era_state.is_unsettled() {
             self.read_mark(limit).await;
         }
         let asked = Instant::now();
@@ -207,7 +207,7 @@
     async fn check_freshness(&self, failures: u32) -> Result<(), Failure> {
         let asked = Instant::now();
         let revision = self.revision();
-        let same_era = Some(revision.era()) == self.relay.standing.era();
+        let same_era = Some(revision.era()) == self.relay.era_state.era();
         if revision.is_none() || !same_era || self.writes_unanswered() {
             let limit = match failures % LONG_LIMIT_EVERY {
                 0 => CALL_TIMEOUT,
@@ -215,7 +215,7 @@
             };
             return self.read_operator(limit).await.map(|_| ());
         }
-        if self.relay.standing.is_open() {
+        if self.relay.era_state.is_unsettled() {
             self.read_mark(SWAP_TIMEOUT).await;
         }
         // A no-op write under the condition that the entries have the revisions known
@@ -269,7 +269,7 @@
             // enter a new era.
             Swap::EraChanged => return self.read_operator(CALL_TIMEOUT).await.map(|_| ()),
             Swap::Conflict(Current::Items(items)) => {
-                let era = self.relay.standing.era();
+                let era = self.relay.era_state.era();
                 let is_other = items.iter().any(|it| Some(it.revision.era()) != era);
                 if is_other || !self.matches_emptied(&items) || !self.matches_orders(&items) {
                     return self.read_operator(CALL_TIMEOUT).await.map(|_| ());
--- a/crates/relay/src/follow/eras.rs
+++ b/crates/relay/src/follow/eras.rs
@@ -17,7 +17,7 @@
 use super::change_log::Batch;
 use super::mark::{self, Mark};
 use super::{Follower, CALL_TIMEOUT};
-use crate::era_state::{Entry, Evidence, Precedence, Prior, Waits};
+use crate::era_state::{Delays, Entry, Evidence, Precedence, Prior};
 
 /// Interval between two checks whether a hold time is over.
 const HOLD_CHECK_INTERVAL: Duration = Duration::from_millis(250);
@@ -34,38 +34,38 @@
     /// no hold if this box's view was older than that at the restore: a hall that was
     /// emptied long ago, as far as this box knows, may be in use again. Kept empty by
     /// several boxes, such a hall left the other servers crowded.
-    pub(super) fn hold_halls(&self) -> Option<Precedence> {
+    pub(super) fn hall_precedence(&self) -> Option<Precedence> {
         let hold_time = self.relay.bounds().rewrite_within;
-        let standing = &self.relay.standing;
-        standing.hold_recent(hold_time, Instant::now())
+        let era_state = &self.relay.era_state;
+        era_state.recent_precedence(hold_time, Instant::now())
     }
 
     /// The hold on rollout orders: for a while after a restore of the store, the known
     /// orders take precedence over backup entries and missing ones.
-    pub(super) fn hold(&self) -> Option<Precedence> {
+    pub(super) fn rollout_precedence(&self) -> Option<Precedence> {
         let hold_time = self.relay.bounds().rewrite_within;
-        self.relay.standing.hold(hold_time, Instant::now())
+        self.relay.era_state.precedence(hold_time, Instant::now())
     }
 
     /// The hold on server entries: what servers advertised before a restore takes
     /// precedence over backup entries until an unresponsive server would have lost its
     /// entry.
-    pub(super) fn hold_servers(&self) -> Option<Precedence> {
+    pub(super) fn server_precedence(&self) -> Option<Precedence> {
         let hold_time = self.relay.bounds().entry_ttl;
-        self.relay.standing.hold(hold_time, Instant::now())
+        self.relay.era_state.precedence(hold_time, Instant::now())
     }
 
     /// Records a state of the store that the store itself or another box reported. If
     /// it is of a later era, stops following the stale one.
     pub(super) fn observe_state(&self, state: Revision) {
-        let (earlier, now) = (self.relay.standing.era(), Instant::now());
+        let (earlier, now) = (self.relay.era_state.era(), Instant::now());
         let before = Prior {
             in_force: self.in_force(),
             entry: self.stored_entry.get(),
             state: self.stored_state.get(),
             age: self.synced_age(now),
         };
-        if !self.relay.standing.observe(state, before, now) {
+        if !self.relay.era_state.observe(state, before, now) {
             return;
         }
         let era = state.era();
@@ -76,7 +76,7 @@
             earlier.map_or_else(|| "-".to_owned(), |earlier| earlier.to_string()),
             self.relay.view.version(),
             self.relay.view.age().map_or(-1, |age| age.as_millis() as i64),
-            self.relay.standing.is_settled(),
+            self.relay.era_state.is_settled(),
         );
         self.report_settled();
         if earlier.is_none() {
@@ -102,27 +102,27 @@
     pub(super) fn confirm(&self, asked: Instant) {
         self.record_synced(asked);
         let bounds = self.relay.bounds();
-        let waits = Waits {
+        let delays = Delays {
             stable: bounds.grace_period,
             rewrite: bounds.rewrite_within,
         };
         let (stored, in_force) = (self.stored_entry.get(), self.in_force());
-        let standing = &self.relay.standing;
-        let evidence = standing.evaluate(stored, in_force, waits, asked);
+        let era_state = &self.relay.era_state;
+        let evidence = era_state.evaluate(stored, in_force, delays, asked);
         if let Some(evidence) = evidence {
             self.settle(evidence);
         }
-        if self.relay.standing.is_settled() {
+        if self.relay.era_state.is_settled() {
             self.record_confirmation(asked);
         }
     }
 
     /// Records that the operator entries are complete in this era.
     pub(super) fn settle(&self, evidence: Evidence) {
-        if !self.relay.standing.settle(evidence) {
+        if !self.relay.era_state.settle(evidence) {
             return;
         }
-        let era = self.relay.standing.era().unwrap_or_default();
+        let era = self.relay.era_state.era().unwrap_or_default();
         log::info!(
             target: "belief",
             "event=store_era_settled era={era} why={evidence} version={}",
@@ -132,7 +132,7 @@
     }
 
     fn report_settled(&self) {
-        let value = if self.relay.standing.is_settled() {
+        let value = if self.relay.era_state.is_settled() {
             1.0
         } else {
             0.0
@@ -143,8 +143,8 @@
     /// Waits until this box reads a store whose operator entries may be incomplete.
     pub async fn wait_until_unsettled(&self) {
         loop {
-            let heard = self.relay.standing.era().is_some();
-            if heard && self.relay.standing.is_open() && self.reads_store.get() {
+            let heard = self.relay.era_state.era().is_some();
+            if heard && self.relay.era_state.is_unsettled() && self.reads_store.get() {
                 return;
             }
             self.era_changed.wait().or(self.role_changed.wait()).await;
@@ -155,7 +155,7 @@
     pub async fn wait_for_restore(&self) {
         loop {
             self.era_changed.wait().await;
-            if self.relay.standing.has_changed() {
+            if self.relay.era_state.has_changed() {
                 return;
             }
         }
@@ -163,7 +163,7 @@
 
     /// Records that other boxes were asked for the operator entries that they remember.
     pub fn note_recall(&self) {
-        self.relay.standing.ask();
+        self.relay.era_state.mark_peers_queried();
         self.recall_done.notify();
     }
 
@@ -184,15 +184,15 @@
         let mark = item.map(Mark::read).unwrap_or_default();
         self.mark.set(mark);
         let era = mark.revision.era();
-        if mark.names(era) && self.relay.standing.era() == Some(era) {
+        if mark.names(era) && self.relay.era_state.era() == Some(era) {
             self.settle(Evidence::Report);
         }
     }
 
     /// The era that has to be written into the mark; `None` where nothing has to be.
     pub(super) fn unmarked_era(&self) -> Option<Era> {
-        let era = self.relay.standing.era().filter(|era| *era != Era(0))?;
-        let is_due = self.relay.standing.is_settled() && !self.mark.get().names(era);
+        let era = self.relay.era_state.era().filter(|era| *era != Era(0))?;
+        let is_due = self.relay.era_state.is_settled() && !self.mark.get().names(era);
         is_due.then_some(era)
     }
 
@@ -214,7 +214,7 @@
         loop {
             if self.matches_store() {
                 self.entries_held.wait().await;
-            } else if self.hold().is_some() || !self.reads_store.get() {
+            } else if self.rollout_precedence().is_some() || !self.reads_store.get() {
                 // A box that does not read the store gets the entries from its reader.
                 Timer::after(HOLD_CHECK_INTERVAL).await;
             } else if self.read_operator_now(CALL_TIMEOUT).await.is_err() {
@@ -237,7 +237,7 @@
                 self.entries_held.wait().await;
                 continue;
             }
-            if self.hold_servers().is_some() {
+            if self.server_precedence().is_some() {
                 Timer::after(HOLD_CHECK_INTERVAL).await;
                 continue;
             }
--- a/crates/relay/src/follow/halls.rs
+++ b/crates/relay/src/follow/halls.rs
@@ -28,7 +28,7 @@
     /// Applies a list of the halls to be emptied; returns whether it equals what is
     /// known here now.
     pub(super) fn apply_emptied_list(&self, list: &List) -> bool {
-        let same = self.emptied.merge(list, self.hold_halls());
+        let same = self.emptied.merge(list, self.hall_precedence());
         self.apply_emptied();
         self.entries_held.notify();
         same
@@ -40,12 +40,13 @@
         match event {
             Event::Put(item) => {
                 if let Some(Row { hall, revision }) = row(item) {
-                    self.emptied.empty(hall, revision, self.hold_halls());
+                    self.emptied
+                        .record_emptied(hall, revision, self.hall_precedence());
                 }
             }
             Event::Delete { key, revision } => {
                 if let Some(hall) = hall(key) {
-                    self.emptied.take_back(hall, *revision);
+                    self.emptied.cancel(hall, *revision);
                 }
             }
         }
--- a/crates/relay/src/follow/rollouts.rs
+++ b/crates/relay/src/follow/rollouts.rs
@@ -20,7 +20,7 @@
             let service = &known.order.service;
             let key = key::rollout(service);
             if !items.iter().any(|item| item.key == key) {
-                rollouts.missing(service, revision, self.hold());
+                rollouts.missing(service, revision, self.rollout_precedence());
             }
         }
         items.iter().for_each(|item| self.apply_order(item));
@@ -43,11 +43,11 @@
         let Some(service) = service(&item.key) else {
             return;
         };
-        let (hold, now) = (self.hold(), Instant::now());
+        let (precedence, now) = (self.rollout_precedence(), Instant::now());
         match wire::decode(&service, &item.value) {
             Ok(order) => {
                 let rollouts = &self.relay.rollouts;
-                rollouts.order(order, item.revision, hold, now);
+                rollouts.order(order, item.revision, precedence, now);
             }
             Err(error) => log::error!(
                 target: "belief",
@@ -96,11 +96,11 @@
                 self.relay.rollouts.stage_missing(&known.order.service);
             }
         }
-        self.take_stages(items);
+        self.apply_stages(items);
     }
 
     /// Applies the stages among entries of any kind.
-    pub(crate) fn take_stages(&self, items: &[Item]) {
+    pub(crate) fn apply_stages(&self, items: &[Item]) {
         for item in items {
             let Some(service) = stage::service(&item.key) else {
                 continue;
@@ -125,7 +125,10 @@
         let Some(list) = list else {
             return;
         };
-        let same = self.relay.rollouts.merge(list, self.hold(), Instant::now());
+        let same = self
+            .relay
+            .rollouts
+            .merge(list, self.rollout_precedence(), Instant::now());
         let age = list.age_ms.filter(|_| same).map(Duration::from_millis);
         if let Some(confirmed) = age.and_then(|age| asked.checked_sub(age)) {
             self.relay.rollouts.confirm_at(confirmed);
--- a/crates/relay/src/follow/servers.rs
+++ b/crates/relay/src/follow/servers.rs
@@ -37,11 +37,11 @@
 
 impl Follower {
     /// Follows the servers while this box reads the store; does not end.
-    pub async fn servers(self: Rc<Self>) {
+    pub async fn follow_servers(self: Rc<Self>) {
         let mut delay = Delay::default();
         loop {
             self.wait_until_readable().await;
-            let known = self.record.complete_revision();
+            let known = self.history.complete_revision();
             if !known.is_none() && self.watch_servers(known, Resumes::Yes).await {
                 self.servers_known.set(false);
                 delay.reset();
@@ -73,7 +73,7 @@
     /// contact with it, and after a restore from an older backup no watch can continue,
     /// so that each of them would list all servers.
     async fn wait_for_reader(&self) {
-        if self.boxes_before.get() < PROBING_BOXES || self.record.complete_revision().is_none() {
+        if self.boxes_before.get() < PROBING_BOXES || self.history.complete_revision().is_none() {
             return;
         }
         while self.reads_store.get() && self.in_grace_period() {
@@ -114,7 +114,7 @@
             self.apply_server_event(event, &mut batch);
         }
         batch.write();
-        self.record.confirm(read.revision);
+        self.history.confirm(read.revision);
     }
 
     fn apply_server_list(&self, items: &[Item], revision: Revision) {
@@ -128,7 +128,7 @@
                 self.entry_removed(&id, revision, &mut batch);
             }
         }
-        self.record.confirm(revision);
+        self.history.confirm(revision);
         batch.write();
     }
 
@@ -188,7 +188,7 @@
             }
             let mut batch = Batch::new();
             for id in self.relay.fleet.missing() {
-                let seen = self.record.newest_revision();
+                let seen = self.history.newest_revision();
                 self.drop_server(&id, seen, change_log::Change::Lapsed, &mut batch);
             }
             batch.write();
--- a/crates/relay/src/health.rs
+++ b/crates/relay/src/health.rs
@@ -194,7 +194,7 @@
 
     /// Records that a request was sent; if the server was ejected, the request is its
     /// probe.
-    pub fn sent(&self, now: Instant) {
+    pub fn record_sent(&self, now: Instant) {
         if self.ejected_until.get().is_some() {
             self.probed.set(Some(now));
         }
--- a/crates/relay/src/message/follow.rs
+++ b/crates/relay/src/message/follow.rs
@@ -67,7 +67,8 @@
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize, PartialEq, Eq)]
 pub struct Position {
     /// Identifies one instance of the log; a restarted box has a new one.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Number of changes in the log up to this position.
     pub changes: u64,
 }
@@ -90,8 +91,8 @@
     /// none.
     pub revision: u64,
     /// The sender's view of the store; `None`: the sender does not know eras.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub standing: Option<Status>,
+    #[serde(rename = "standing", default, skip_serializing_if = "Option::is_none")]
+    pub status: Option<Status>,
     /// Length of the configuration document, whose bytes follow this message unchanged if
     /// the receiver knows an older one.
     pub document_bytes: Option<u32>,
--- a/crates/relay/src/message/part.rs
+++ b/crates/relay/src/message/part.rs
@@ -24,7 +24,8 @@
     /// of an earlier era.
     others: Vec<Row>,
     /// Removed servers, each as of a revision of the part's era.
-    gone: Vec<(ids::Server, u64)>,
+    #[serde(rename = "gone")]
+    removed: Vec<(ids::Server, u64)>,
     /// Removed servers, each as of a revision of an earlier era.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     gone_before: Vec<Gone>,
@@ -114,10 +115,10 @@
     }
 
     /// Adds removed servers, each as of a revision of the store.
-    pub fn with_gone(mut self, gone: impl IntoIterator<Item = (ids::Server, Revision)>) -> Self {
+    pub fn with_removed(mut self, gone: impl IntoIterator<Item = (ids::Server, Revision)>) -> Self {
         for (id, revision) in gone {
             if revision.era() == Era(self.era) {
-                self.gone.push((id, revision.number()));
+                self.removed.push((id, revision.number()));
             } else {
                 self.gone_before.push(Gone { id, revision });
             }
@@ -131,9 +132,9 @@
     }
 
     /// The removed servers, each as of a revision of the store.
-    pub fn gone(&self) -> impl Iterator<Item = (&ids::Server, Revision)> {
+    pub fn removed(&self) -> impl Iterator<Item = (&ids::Server, Revision)> {
         let era = Era(self.era);
-        let gone = self.gone.iter();
+        let gone = self.removed.iter();
         let gone = gone.map(move |(id, number)| (id, Revision::new(era, *number)));
         let before = self.gone_before.iter();
         gone.chain(before.map(|gone| (&gone.id, gone.revision)))
--- a/crates/relay/src/message/row.rs
+++ b/crates/relay/src/message/row.rs
@@ -72,7 +72,7 @@
     /// is leaving: a leaving server never takes that back, so it holds regardless of
     /// which row is newer. If `known` says that the server is leaving, this row has to
     /// say so too.
-    pub fn adds_nothing_to(&self, known: &Self) -> bool {
+    pub fn is_consistent_with(&self, known: &Self) -> bool {
         let same = Self {
             revision: self.revision,
             era: self.era,
--- a/crates/relay/src/message/traffic.rs
+++ b/crates/relay/src/message/traffic.rs
@@ -24,9 +24,11 @@
     /// Number of the request, which its answer repeats.
     pub number: u64,
     /// The kind of sender.
-    pub asker: Requester,
+    #[serde(rename = "asker")]
+    pub requester: Requester,
     /// Position of the sender in the receiver's log of placements.
-    pub place: Position,
+    #[serde(rename = "place")]
+    pub position: Position,
     /// Report of the sender.
     pub report: Report,
 }
@@ -41,7 +43,8 @@
     /// New placements.
     pub rows: Vec<Placement>,
     /// Number of further new placements that were left out for lack of space.
-    pub untold: u32,
+    #[serde(rename = "untold")]
+    pub omitted: u32,
     /// New observations of request contents during which servers crashed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub crashes: Vec<table::Row>,
@@ -64,7 +67,8 @@
     /// whole hall.
     pub is_hub: bool,
     /// The receiver's position in the log of placements after these rows.
-    pub place: Position,
+    #[serde(rename = "place")]
+    pub position: Position,
     /// Report of the sender.
     pub report: Report,
 }
--- a/crates/relay/src/peer/responder.rs
+++ b/crates/relay/src/peer/responder.rs
@@ -174,7 +174,7 @@
     let change = async {
         let is_new = || last_sent != Some(follower.change_count());
         while !is_new() || !is_confirmed(follower, request) {
-            follower.news().await;
+            follower.wait_for_change().await;
         }
         // Collects further changes that follow shortly.
         Timer::after(GATHER_DELAY).await;
@@ -229,12 +229,12 @@
         None => follower.servers_after(request.position),
         Some(_) if !is_confirmed || operator_only => no_servers(request),
         Some(options) => {
-            let place = Cursor {
+            let cursor = Cursor {
                 position: request.position,
                 after: options.after.clone(),
                 complete_revision: options.complete_revision(),
             };
-            let (part, position) = follower.servers_part(&place);
+            let (part, position) = follower.servers_part(&cursor);
             (Servers::Part(part), position)
         }
     };
@@ -246,7 +246,7 @@
         age_ms: follower.shareable_age(now).map(as_ms),
         known_ms: follower.confirmed_age(now).map(as_ms),
         revision: follower.revision().number(),
-        standing: Some(follower.advertised_status(now)),
+        status: Some(follower.advertised_status(now)),
         document_bytes: document.as_ref().map(|bytes| bytes.len() as u32),
         emptied: Some(follower.emptied()),
         rollouts: Some(follower.relay().rollouts.list(now)),
--- a/crates/relay/src/peer/traffic.rs
+++ b/crates/relay/src/peer/traffic.rs
@@ -67,7 +67,7 @@
             boxes: sum.boxes,
             counts: self.sent.changes(sum, max_counts),
             rows: placements.rows,
-            untold: placements.omitted,
+            omitted: placements.omitted,
             crashes,
             ..Report::default()
         }
@@ -76,8 +76,8 @@
     /// Crashes recorded since the last message to the other side.
     fn crashes(&mut self, relay: &Relay, scope: table::Scope, max_rows: usize) -> Vec<table::Row> {
         let table = &relay.crashes.table;
-        let (rows, place) = table.since(self.crashes_sent, max_rows, scope, Instant::now());
-        self.crashes_sent = place;
+        let (rows, position) = table.since(self.crashes_sent, max_rows, scope, Instant::now());
+        self.crashes_sent = position;
         rows
     }
 
@@ -85,33 +85,37 @@
         self.received.apply(report.boxes, &report.counts);
         relay.crashes.merge_rows(&report.crashes, Instant::now());
         relay.merge_rollouts(&from, report);
-        relay.merge_traffic(from, self.received.clone(), &report.rows, report.untold);
+        relay.merge_traffic(from, self.received.clone(), &report.rows, report.omitted);
     }
 
     /// Answers a request of the box that is registered here as `member`.
     pub fn answer(&mut self, relay: &Relay, member: u64, request: Request) -> Answer {
         let member = Peer::Member(member);
         let now = Instant::now();
-        let (sum, max_counts, placements) = match request.asker {
+        let (sum, max_counts, placements) = match request.requester {
             Requester::Box => {
                 self.apply_report(relay, member.clone(), &request.report);
                 let sum = relay.in_flight_excluding(&member, now);
                 (
                     sum,
                     COUNTS_MAX,
-                    relay.traffic.rows_for_member(&member, request.place),
+                    relay.traffic.rows_for_member(&member, request.position),
                 )
             }
             // A hub sums the reports of all halls itself, so it gets this hall's share
             // only.
             Requester::Hub => {
                 let sum = relay.in_flight_in_subtree(now);
-                (sum, usize::MAX, relay.traffic.rows_of_hall(request.place))
+                (
+                    sum,
+                    usize::MAX,
+                    relay.traffic.rows_of_hall(request.position),
+                )
             }
         };
         // A content with a single crash matters to hubs only: they combine what their
         // boxes and other hubs saw.
-        let crashes = match request.asker {
+        let crashes = match request.requester {
             Requester::Box => self.crashes(relay, table::Scope::Repeated, CRASHES_MAX),
             Requester::Hub => self.crashes(relay, table::Scope::All, HUB_CRASHES_MAX),
         };
@@ -119,10 +123,10 @@
             version: VERSION,
             number: request.number,
             is_hub: relay.traffic.is_hub(),
-            place: placements.place,
+            position: placements.position,
             report: Report {
                 // Only hubs combine the evidence of all boxes.
-                trials: match request.asker {
+                trials: match request.requester {
                     Requester::Box => Vec::new(),
                     Requester::Hub => relay.rollouts.evidence.of_hall(now),
                 },
@@ -229,11 +233,11 @@
 async fn follow_hub(
     relay: &Relay,
     member: &Member,
-    asker: Requester,
+    requester: Requester,
     peer: Peer,
 ) -> Result<(), Error> {
     let mut conn = link::open(member.address, CONNECT_TIMEOUT).await?;
-    let result = exchange_reports(relay, &mut conn, asker, &peer).await;
+    let result = exchange_reports(relay, &mut conn, requester, &peer).await;
     relay.traffic.remove_peer(&peer);
     result
 }
@@ -241,17 +245,17 @@
 async fn exchange_reports(
     relay: &Relay,
     conn: &mut Conn,
-    asker: Requester,
+    requester: Requester,
     peer: &Peer,
 ) -> Result<(), Error> {
     let mut session = Session::default();
-    let mut place = Position::default();
+    let mut position = Position::default();
     for number in 1.. {
-        let (report, reported) = match asker {
+        let (report, reported) = match requester {
             Requester::Box => {
                 let sum = relay.in_flight_in_subtree(Instant::now());
                 let placements = relay.traffic.rows_for_hub();
-                let reported = placements.place;
+                let reported = placements.position;
                 let crashes = session.crashes(relay, table::Scope::All, HUB_CRASHES_MAX);
                 let report = Report {
                     trials: relay.rollouts.evidence.of_hall(Instant::now()),
@@ -264,17 +268,17 @@
         let request = Request {
             version: VERSION,
             number,
-            asker,
-            place,
+            requester,
+            position,
             report,
         };
         let answer = send_request(conn, request).await?;
         if let Some(reported) = reported {
             relay.traffic.set_hub_position(reported);
         }
-        place = answer.place;
+        position = answer.position;
         session.apply_report(relay, peer.clone(), &answer.report);
-        match asker {
+        match requester {
             Requester::Hub if !answer.is_hub => return Err(Error::Unconfirmed),
             Requester::Hub if !relay.traffic.is_hub() => break,
             _ => {}
--- a/crates/relay/src/peer/upstream.rs
+++ b/crates/relay/src/peer/upstream.rs
@@ -243,7 +243,7 @@
 
     async fn request_update(&self, conn: &mut Conn, number: u64) -> Result<Answer, Error> {
         let after = self.listing.as_ref().and_then(|list| list.after.clone());
-        let complete_revision = self.follower.record().complete_revision();
+        let complete_revision = self.follower.history().complete_revision();
         let wait = match self.listing {
             Some(_) => Duration::ZERO,
             None => HOLD_MAX.min(self.confirm_timeout),
--- a/crates/relay/src/refusal.rs
+++ b/crates/relay/src/refusal.rs
@@ -40,7 +40,7 @@
     Stale,
     /// The same, because the store was restored from an older backup and the operator has
     /// yet to rewrite what it lost.
-    Behind,
+    StoreBehind,
     /// No server of the service is known, or none can take a request.
     NoServer,
     /// All servers of the service are leaving.
@@ -58,11 +58,11 @@
     /// much longer.
     Crashing(Duration),
     /// The servers that were tried refused connections: they are down.
-    Down,
+    ServersDown,
     /// The servers that could serve the request are full.
     Full,
     /// The request's time ran out before a server ran it.
-    TimeOver,
+    Expired,
     /// The request's time ran out while a server may have been running it.
     Late,
     /// A server may have run the request, and its answer is lost.
@@ -82,7 +82,7 @@
             Kind::Lost => 502,
             Kind::NotReady
             | Kind::Stale
-            | Kind::Behind
+            | Kind::StoreBehind
             | Kind::NoServer
             | Kind::Leaving
             | Kind::BackingOff(_)
@@ -90,9 +90,9 @@
             | Kind::NoRegion
             | Kind::Cold
             | Kind::Crashing(_)
-            | Kind::Down
+            | Kind::ServersDown
             | Kind::Full
-            | Kind::TimeOver => 503,
+            | Kind::Expired => 503,
             Kind::Late => 504,
         }
     }
@@ -103,10 +103,12 @@
             // The actual time that is left: before, no box has another answer.
             Kind::Crashing(left) | Kind::BackingOff(left) => Some(left),
             Kind::NotReady | Kind::Stale => Some(NOT_READY_DELAY),
-            Kind::Down | Kind::Leaving | Kind::Emptied | Kind::NoRegion | Kind::Behind => {
-                Some(UNAVAILABLE_DELAY)
-            }
-            Kind::NoServer | Kind::Cold | Kind::Full | Kind::TimeOver => Some(DEFAULT_DELAY),
+            Kind::ServersDown
+            | Kind::Leaving
+            | Kind::Emptied
+            | Kind::NoRegion
+            | Kind::StoreBehind => Some(UNAVAILABLE_DELAY),
+            Kind::NoServer | Kind::Cold | Kind::Full | Kind::Expired => Some(DEFAULT_DELAY),
             _ => None,
         }
     }
@@ -122,7 +124,7 @@
             Kind::NoAccount => "no_account",
             Kind::NotReady => "not_ready",
             Kind::Stale => "stale",
-            Kind::Behind => "behind",
+            Kind::StoreBehind => "behind",
             Kind::NoServer => "no_server",
             Kind::Leaving => "leaving",
             Kind::BackingOff(_) => "resting",
@@ -130,9 +132,9 @@
             Kind::NoRegion => "no_region",
             Kind::Cold => "cold",
             Kind::Crashing(_) => "crashing",
-            Kind::Down => "down",
+            Kind::ServersDown => "down",
             Kind::Full => "full",
-            Kind::TimeOver => "time_over",
+            Kind::Expired => "time_over",
             Kind::Late => "late",
             Kind::Lost => "lost",
         }
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -82,7 +82,7 @@
     /// The catalog in force.
     pub view: View,
     /// The era of the store, and how far the store is authoritative.
-    pub standing: EraState,
+    pub era_state: EraState,
     /// The backend servers.
     pub fleet: Rc<Fleet>,
     /// Load reported by other boxes, and the servers that prompts were sent to.
@@ -110,7 +110,7 @@
             hall,
             bounds: Cell::new(bounds),
             view: View::default(),
-            standing: EraState::default(),
+            era_state: EraState::default(),
             fleet: Rc::default(),
             traffic: Traffic::default(),
             rollouts: Rollouts::default(),
@@ -158,7 +158,7 @@
         let informed = self.view.catalog().is_some() && !self.fleet.is_empty();
         let key_max_age = self.bounds().key_max_age;
         let trusted = key_max_age.is_none_or(|max_age| self.view.is_fresh(max_age));
-        informed && trusted && self.standing.may_begin() && self.stop.phase() == Phase::Serving
+        informed && trusted && self.era_state.may_serve() && self.stop.phase() == Phase::Serving
     }
 
     /// Whether client connections close after the next answer: because another box
@@ -223,8 +223,8 @@
         if let Some(list) = &report.rollouts {
             // A list of another era is taken only together with the peer's other
             // entries of that era, elsewhere.
-            if Some(list.era()) == self.standing.era() {
-                let precedence = self.standing.hold(self.bounds().rewrite_within, now);
+            if Some(list.era()) == self.era_state.era() {
+                let precedence = self.era_state.precedence(self.bounds().rewrite_within, now);
                 self.rollouts.merge(list, precedence, now);
             }
         }
--- a/crates/relay/src/rollout/evidence.rs
+++ b/crates/relay/src/rollout/evidence.rs
@@ -48,7 +48,7 @@
     /// With a failure of the server.
     Failed,
     /// Without an answer in time.
-    Late,
+    TimedOut,
 }
 
 /// Decayed counts of one release on one route.
@@ -224,7 +224,7 @@
         let route = xxh3_64(answer.route.as_bytes()) as u32;
         let (failed, slow) = match answer.outcome {
             Outcome::Failed => (1.0, 0.0),
-            Outcome::Late => (0.0, 1.0),
+            Outcome::TimedOut => (0.0, 1.0),
             Outcome::Answered { cold: true, .. } => (0.0, 0.0),
             Outcome::Answered { first, whole, .. } => {
                 let is_target = answer.order.is_some_and(|(_, target)| target);
--- a/crates/relay/src/rollout/mod.rs
+++ b/crates/relay/src/rollout/mod.rs
@@ -220,7 +220,7 @@
 
 impl Selector {
     /// Whether the new release is a canary: only a part of its servers gets requests.
-    pub fn is_trial(&self) -> bool {
+    pub fn is_canary(&self) -> bool {
         matches!(self, Selector::Target { part, .. } if *part < 1.0)
     }
 
@@ -278,7 +278,7 @@
     ) {
         self.observe(revision);
         let is_kept = |known: Revision| {
-            precedence.is_some_and(|precedence| precedence.keeps(known, revision))
+            precedence.is_some_and(|precedence| precedence.outranks(known, revision))
         };
         let cancelled = self.cancelled.borrow().get(&order.service).copied();
         if cancelled.is_some_and(|cancelled| cancelled >= revision || is_kept(cancelled)) {
@@ -351,7 +351,7 @@
         let Some(known) = all.get_mut(service) else {
             return;
         };
-        if precedence.is_some_and(|precedence| precedence.is_former(known.revision)) {
+        if precedence.is_some_and(|precedence| precedence.is_stale(known.revision)) {
             known.stored = false;
             return;
         }
--- a/crates/relay/src/rollout_controller.rs
+++ b/crates/relay/src/rollout_controller.rs
@@ -222,7 +222,7 @@
             let rollouts = &follower.relay().rollouts;
             rollouts.stage(service, stage, revision, Instant::now());
         }
-        Swap::Conflict(Current::Items(items)) => follower.take_stages(&items),
+        Swap::Conflict(Current::Items(items)) => follower.apply_stages(&items),
         Swap::EraChanged => log::warn!(
             target: "belief",
             "event=rollout_step_void service={service} why=\"the store was restored from an older backup\""
--- a/crates/relay/src/router.rs
+++ b/crates/relay/src/router.rs
@@ -132,11 +132,11 @@
         }
         let store = Rc::new(Client::new(settings.store.address));
         let follower = Follower::new(relay.clone(), store.clone());
-        executor.spawn(follower.clone().catalog()).detach();
+        executor.spawn(follower.clone().follow_catalog()).detach();
         executor
             .spawn(follower.clone().run_freshness_checks())
             .detach();
-        executor.spawn(follower.clone().servers()).detach();
+        executor.spawn(follower.clone().follow_servers()).detach();
         executor
             .spawn(follower.clone().drop_lapsed_servers())
             .detach();
@@ -235,7 +235,7 @@
         // All boxes start now and register at once, so that their lists of each
         // other are complete from the beginning.
         relay.roster.set_listed(Instant::now());
-        relay.standing.record_first_start();
+        relay.era_state.record_first_start();
         // No engine has anything in its KV cache yet, so there is no index to rebuild.
         relay.traffic.set_progress(Progress::Done);
     }
--- a/crates/relay/src/server_history.rs
+++ b/crates/relay/src/server_history.rs
@@ -128,16 +128,16 @@
 
     /// Whether the known state takes precedence over an entry, which may be a backup
     /// entry: its server was removed later, or advertised something else.
-    pub fn takes_precedence_over(&self, row: &Row, hold: Precedence) -> bool {
+    pub fn takes_precedence_over(&self, row: &Row, precedence: Precedence) -> bool {
         let gone = self.removed.borrow();
         let gone = gone.peek(row.id()).copied();
         let servers = self.servers.borrow();
         let differs = servers
             .get(row.id())
-            .filter(|known| !row.adds_nothing_to(known));
+            .filter(|known| !row.is_consistent_with(known));
         let differs = differs.map(Row::revision);
         let mut known = gone.into_iter().chain(differs);
-        known.any(|known| hold.keeps(known, row.revision()))
+        known.any(|known| precedence.outranks(known, row.revision()))
     }
 
     /// Records that a server joined or changed.
@@ -198,10 +198,10 @@
     /// position of the first piece.
     pub fn part(&self, cursor: &Cursor) -> (Part, Position) {
         let now = Position {
-            life: self.life,
+            incarnation: self.life,
             changes: self.count.get(),
         };
-        let known = cursor.position.life == self.life;
+        let known = cursor.position.incarnation == self.life;
         let (part, position) = if known && cursor.after.is_some() {
             (self.piece(cursor.after.as_ref()), cursor.position)
         } else if let Some(part) = known.then(|| self.changed(cursor.position)).flatten() {
@@ -233,7 +233,7 @@
             Change::Upserted(_) => None,
             Change::Removed(id, revision) => Some((id.clone(), *revision)),
         });
-        Some(self.part_with(rows).with_gone(gone))
+        Some(self.part_with(rows).with_removed(gone))
     }
 
     fn part_with(&self, rows: impl IntoIterator<Item = Row>) -> Part {
@@ -255,7 +255,7 @@
         // Entries that expired are gone as of the revision that was known before.
         let gone = gone.iter().filter(|(_, at)| **at >= revision);
         let gone = gone.map(|(id, at)| (id.clone(), *at));
-        Some(self.part_with(rows.cloned()).with_gone(gone))
+        Some(self.part_with(rows.cloned()).with_removed(gone))
     }
 
     /// The piece of the list of all servers that follows the server `after`.
@@ -280,13 +280,13 @@
     /// afterwards.
     pub fn since(&self, position: Position) -> (Servers, Position) {
         let now = Position {
-            life: self.life,
+            incarnation: self.life,
             changes: self.count.get(),
         };
         let changes = self.changes.borrow();
         let missed = now.changes.checked_sub(position.changes);
-        let retained =
-            missed.filter(|missed| position.life == self.life && *missed <= changes.len() as u64);
+        let retained = missed
+            .filter(|missed| position.incarnation == self.life && *missed <= changes.len() as u64);
         let servers = match retained {
             Some(missed) => {
                 let skip = changes.len() - missed as usize;
--- a/crates/relay/src/traffic/log.rs
+++ b/crates/relay/src/traffic/log.rs
@@ -54,7 +54,7 @@
     /// Number of rows omitted for want of room.
     pub omitted: u32,
     /// The reader's position after all of these rows.
-    pub place: Position,
+    pub position: Position,
 }
 
 /// Where a row or a report came from.
@@ -111,17 +111,17 @@
         }
     }
 
-    /// Returns the newest rows after `place` that are `wanted`, at most `most` of them.
+    /// Returns the newest rows after `position` that are `wanted`, at most `most` of them.
     /// Counts the omitted ones.
     pub fn since(
         &self,
-        place: Position,
+        position: Position,
         most: usize,
         wanted: impl Fn(Option<&Peer>) -> bool,
     ) -> Batch {
         let rows = self.rows.borrow();
-        let after = match place.life == self.life {
-            true => self.count.get().saturating_sub(place.rows),
+        let after = match position.life == self.life {
+            true => self.count.get().saturating_sub(position.rows),
             // The position is of another log: all stored rows may be new to this reader.
             false => rows.len() as u64,
         };
@@ -138,7 +138,7 @@
         Batch {
             rows: newest,
             omitted: u32::try_from(left_out).unwrap_or(u32::MAX),
-            place: self.end(),
+            position: self.end(),
         }
     }
 }
--- a/crates/relay/src/traffic/mod.rs
+++ b/crates/relay/src/traffic/mod.rs
@@ -130,9 +130,9 @@
     }
 
     /// New rows for a member: all but those that it reported itself.
-    pub fn rows_for_member(&self, member: &Peer, place: Position) -> Batch {
+    pub fn rows_for_member(&self, member: &Peer, position: Position) -> Batch {
         let wanted = |from: Option<&Peer>| from != Some(member);
-        self.log.since(place, ROWS_MAX, wanted)
+        self.log.since(position, ROWS_MAX, wanted)
     }
 
     /// Rows of this box and of its members that no hub of this hall has got yet.
@@ -141,13 +141,13 @@
     }
 
     /// Records that the hub has all rows up to a position.
-    pub fn set_hub_position(&self, place: Position) {
-        self.hub_position.set(place);
+    pub fn set_hub_position(&self, position: Position) {
+        self.hub_position.set(position);
     }
 
     /// New rows of this box and of its members, for another hall.
-    pub fn rows_of_hall(&self, place: Position) -> Batch {
+    pub fn rows_of_hall(&self, position: Position) -> Batch {
         let wanted = |from: Option<&Peer>| from.is_none_or(Peer::is_member);
-        self.log.since(place, ROWS_MAX, wanted)
+        self.log.since(position, ROWS_MAX, wanted)
     }
 }
--- a/crates/relay/tests/platform/answer.rs
+++ b/crates/relay/tests/platform/answer.rs
@@ -27,7 +27,7 @@
     assert_eq!(answer.status, 200);
     assert_eq!(answer.attempt.as_deref(), Some("1"));
     assert!(answer.signed);
-    assert!(answer.not_run);
+    assert!(answer.not_executed);
     assert!(answer.leaving);
     assert_eq!(answer.server.as_deref(), Some("i-1"));
     let load = Load {
@@ -45,14 +45,14 @@
 fn a_minimal_answer_has_no_optional_fields() {
     let answer = answer::decode(&head("HTTP/1.1 500 Oops\nConnection: Close"));
     assert_eq!(answer.status, 500);
-    assert!(!answer.signed && !answer.not_run && answer.close);
+    assert!(!answer.signed && !answer.not_executed && answer.close);
     assert!(answer.attempt.is_none() && answer.load.is_none() && answer.keep_alive.is_none());
 }
 
 #[test]
 fn a_misdirected_request_was_not_executed() {
-    assert!(answer::decode(&head("HTTP/1.1 421 Elsewhere\nInstance-Id: i-2")).not_run);
-    assert!(!answer::decode(&head("HTTP/1.1 503 Full")).not_run);
+    assert!(answer::decode(&head("HTTP/1.1 421 Elsewhere\nInstance-Id: i-2")).not_executed);
+    assert!(!answer::decode(&head("HTTP/1.1 503 Full")).not_executed);
 }
 
 #[test]
--- a/crates/relay/tests/platform/catalog.rs
+++ b/crates/relay/tests/platform/catalog.rs
@@ -220,8 +220,11 @@
 
 #[test]
 fn a_start_time_is_an_integer() {
-    let born = |told: &str| {
-        let entry = ENTRY.replace("\"sequence\":4", &format!("\"sequence\":4,\"born\":{told}"));
+    let born = |value: &str| {
+        let entry = ENTRY.replace(
+            "\"sequence\":4",
+            &format!("\"sequence\":4,\"born\":{value}"),
+        );
         server::decode("i-1", entry.as_bytes()).map(|server| server.born)
     };
     assert_eq!(
--- a/crates/relay/tests/relay/backoff.rs
+++ b/crates/relay/tests/relay/backoff.rs
@@ -217,7 +217,7 @@
         );
         let fleet = &harness.router.relay().fleet;
         ensure!(
-            fleet.withheld(tidepier_clock::Instant::now()) == (0, 1),
+            fleet.count_ineligible(tidepier_clock::Instant::now()) == (0, 1),
             "not counted as backing off"
         );
         let woken = |servers: &[&str]| -> Result<Settings> {
@@ -257,7 +257,7 @@
     fn rejected(&self, at: u64, backoff: u64) -> Update {
         let answer = Answer {
             status: 503,
-            not_run: true,
+            not_executed: true,
             retry_after: Some(ms(backoff)),
             ..Answer::default()
         };
@@ -370,7 +370,7 @@
     let keeper = harness.send(&prompt)?;
     let rejected = Answer {
         status: 503,
-        not_run: true,
+        not_executed: true,
         retry_after: Some(ms(60)),
         ..Answer::default()
     };
@@ -397,7 +397,7 @@
         rate: 600.0 * times,
         hot: 0.0,
         time: ms(8_000),
-        patience: ms(6_000),
+        max_wait: ms(6_000),
         cold: Cold {
             time: Duration::ZERO,
             per_s: 1e6,
@@ -416,7 +416,7 @@
         let plan = fleet(boxes, 1.0 + f64::from(boxes) / 25.0);
         let usual = (plan.rate / 10.0) as usize;
         let sim = Sim::new(plan, seed)?;
-        sim.turn_away(|_| true, ms(1_500), ms(2_000))?;
+        sim.reject(|_| true, ms(1_500), ms(2_000))?;
         let outcome = sim.play();
         let peak = outcome.busiest_together(ms(100));
         ensure!(peak > 2 * usual, "{boxes}: the case did not arise, {peak}");
@@ -438,7 +438,7 @@
     for (boxes, seed) in [(2, 1), (10, 2), (100, 3)] {
         let sim = Sim::new(fleet(boxes, 1.0), seed)?;
         let rejecting = |id: &tidepier_ids::Server| id.as_str().starts_with("i-1-");
-        sim.turn_away(|server| rejecting(&server.id), ms(400), ms(2_000))?;
+        sim.reject(|server| rejecting(&server.id), ms(400), ms(2_000))?;
         let outcome = sim.play();
         let (back, usual) = (
             outcome.busiest(rejecting),
--- a/crates/relay/tests/relay/box_harness.rs
+++ b/crates/relay/tests/relay/box_harness.rs
@@ -84,7 +84,7 @@
     /// Delay of each piece of an answer.
     delay: Cell<Duration>,
     /// Bytes of requests that were forwarded.
-    asked: Cell<u64>,
+    request_bytes: Cell<u64>,
     changed: Notifier,
     forwarders: RefCell<Vec<Task<()>>>,
 }
@@ -96,7 +96,7 @@
             target,
             mode: Cell::new(Mode::Open),
             delay: Cell::default(),
-            asked: Cell::default(),
+            request_bytes: Cell::default(),
             changed: Notifier::default(),
             forwarders: RefCell::default(),
         });
@@ -128,12 +128,12 @@
     }
 
     /// Forwards nothing, and closes nothing.
-    pub(crate) fn silence(&self) {
+    pub(crate) fn make_unresponsive(&self) {
         self.set(Mode::Silent);
     }
 
     /// Forwards everything again.
-    pub(crate) fn mend(&self) {
+    pub(crate) fn restore_link(&self) {
         self.set(Mode::Open);
     }
 
@@ -142,8 +142,8 @@
     }
 
     /// Bytes of requests that were forwarded so far.
-    pub(crate) fn asked(&self) -> u64 {
-        self.state.asked.get()
+    pub(crate) fn request_bytes(&self) -> u64 {
+        self.state.request_bytes.get()
     }
 
     fn set(&self, mode: Mode) {
@@ -170,7 +170,8 @@
                 self.changed.wait().await;
             }
             if asks {
-                self.asked.set(self.asked.get() + count as u64);
+                self.request_bytes
+                    .set(self.request_bytes.get() + count as u64);
             } else {
                 Timer::after(self.delay.get()).await;
             }
@@ -318,7 +319,7 @@
     }
 
     /// When the catalog in force there was last confirmed current.
-    pub(crate) fn proven(&self) -> Option<Instant> {
+    pub(crate) fn confirmed_at(&self) -> Option<Instant> {
         let now = Instant::now();
         now.checked_sub(self.router.relay().view.age_at(now)?)
     }
@@ -342,9 +343,13 @@
 
 /// Starts boxes of `hall-1` and waits until they are ready and the first one is their
 /// reader.
-pub(crate) async fn started(executor: &Executor, site: &Site, count: u32) -> Result<Vec<TestBox>> {
+pub(crate) async fn start_boxes_with_reader(
+    executor: &Executor,
+    site: &Site,
+    count: u32,
+) -> Result<Vec<TestBox>> {
     let test_boxes = start_boxes(executor, site, count).await?;
-    settled(&test_boxes, &[0]).await?;
+    wait_for_readers(&test_boxes, &[0]).await?;
     Ok(test_boxes)
 }
 
@@ -359,11 +364,11 @@
         let (name, link) = (format!("box-{number}"), 5_000 - 1_000 * number);
         test_boxes.push(TestBox::start(executor, site, &name, "hall-1", link).await?);
     }
-    ready(&test_boxes).await?;
+    wait_until_ready(&test_boxes).await?;
     Ok(test_boxes)
 }
 
-pub(crate) async fn ready(test_boxes: &[TestBox]) -> Result {
+pub(crate) async fn wait_until_ready(test_boxes: &[TestBox]) -> Result {
     wait_until("ready", async || {
         Ok(test_boxes.iter().all(TestBox::is_ready))
     })
@@ -371,23 +376,23 @@
 }
 
 /// The boxes that send any request to the store within `time`.
-pub(crate) async fn readers(test_boxes: &[TestBox], time: Duration) -> Vec<usize> {
+pub(crate) async fn boxes_reading_store(test_boxes: &[TestBox], time: Duration) -> Vec<usize> {
     let before: Vec<u64> = test_boxes
         .iter()
-        .map(|test_box| test_box.store.asked())
+        .map(|test_box| test_box.store.request_bytes())
         .collect();
     Timer::after(time).await;
     let asked = test_boxes.iter().zip(before).enumerate();
-    let asked = asked.filter(|(_, (test_box, before))| test_box.store.asked() > *before);
+    let asked = asked.filter(|(_, (test_box, before))| test_box.store.request_bytes() > *before);
     asked.map(|(at, _)| at).collect()
 }
 
 /// Waits until exactly these boxes send requests to the store. A box that requested
 /// from another one before that had a confirmed view skips it for 3 s.
-pub(crate) async fn settled(test_boxes: &[TestBox], expected: &[usize]) -> Result {
+pub(crate) async fn wait_for_readers(test_boxes: &[TestBox], expected: &[usize]) -> Result {
     let start = Instant::now();
     loop {
-        let found = readers(test_boxes, PROOF_TIME).await;
+        let found = boxes_reading_store(test_boxes, PROOF_TIME).await;
         if found == expected {
             return Ok(());
         }
@@ -396,7 +401,7 @@
 }
 
 /// Checks for a while that boxes serve requests with a key.
-pub(crate) async fn served<'a>(
+pub(crate) async fn ensure_served<'a>(
     test_boxes: impl IntoIterator<Item = &'a TestBox> + Clone,
     servers: &[&Server],
     time: Duration,
--- a/crates/relay/tests/relay/choice_harness.rs
+++ b/crates/relay/tests/relay/choice_harness.rs
@@ -64,19 +64,20 @@
     /// A box in a hall that learned of these servers in this order, and received next
     /// to no reports of placements by other boxes.
     pub(crate) fn new(hall: &str, numbers: impl IntoIterator<Item = u16>) -> Result<Self> {
-        let desk = Self {
+        let harness = Self {
             fleet: Fleet::default(),
             index: Index::default(),
             hall: id(hall)?,
             service: id(SERVICE)?,
             start: Instant::now(),
         };
-        desk.index.coverage.record_message(1, 999);
+        harness.index.coverage.record_message(1, 999);
         for number in numbers {
-            desk.fleet
-                .announce(server(number, State::Ready)?, desk.start);
+            harness
+                .fleet
+                .announce(server(number, State::Ready)?, harness.start);
         }
-        Ok(desk)
+        Ok(harness)
     }
 
     /// Lets a server join `after` the box learned of its first ones.
@@ -86,12 +87,12 @@
         Ok(())
     }
 
-    pub(crate) fn places<'a>(&self, prompt: &'a Prompt) -> Locations<'a> {
-        self.places_after(prompt, &[])
+    pub(crate) fn locations<'a>(&self, prompt: &'a Prompt) -> Locations<'a> {
+        self.locations_after(prompt, &[])
     }
 
     /// The same after attempts at the servers `tried` failed.
-    pub(crate) fn places_after<'a>(
+    pub(crate) fn locations_after<'a>(
         &self,
         prompt: &'a Prompt,
         tried: &[ids::Server],
@@ -110,8 +111,8 @@
 
     /// The address from which a server is to copy a prompt's cached parts.
     pub(crate) fn source(&self, prompt: &Prompt, server: &ids::Server) -> Option<SocketAddr> {
-        let places = self.places(prompt);
-        let source = places.copy_source(Key::new(server));
+        let locations = self.locations(prompt);
+        let source = locations.copy_source(Key::new(server));
         source.map(|source| source.server.address)
     }
 
@@ -121,9 +122,9 @@
     }
 
     pub(crate) fn ranked(&self, prompt: &Prompt, rank: usize) -> Result<ids::Server> {
-        let places = self.places(prompt);
+        let locations = self.locations(prompt);
         let mut ids = self.fleet.ids().into_iter();
-        let found = ids.find(|id| places.rank(Key::new(id)) == Some(rank));
+        let found = ids.find(|id| locations.rank(Key::new(id)) == Some(rank));
         found.ok_or_else(|| eyre!("no server of rank {rank}"))
     }
 
--- a/crates/relay/tests/relay/cold.rs
+++ b/crates/relay/tests/relay/cold.rs
@@ -32,7 +32,7 @@
         rate: RATE,
         hot: 0.0,
         time: Duration::from_millis(3_000),
-        patience: Duration::ZERO,
+        max_wait: Duration::ZERO,
         cold: Cold {
             time: Duration::from_secs(3),
             per_s: 9.6,
--- a/crates/relay/tests/relay/crash_harness.rs
+++ b/crates/relay/tests/relay/crash_harness.rs
@@ -136,19 +136,19 @@
 
 /// Sends a request to the boxes in turn for `time`, each time as a new attempt.
 pub(crate) async fn send_repeatedly(
-    machines: &[TestBox],
+    test_boxes: &[TestBox],
     target: &str,
     body: &[u8],
     time: Duration,
 ) -> Result<Vec<Answer>> {
     let start = Instant::now();
     let mut answers = Vec::new();
-    for (number, machine) in machines.iter().cycle().enumerate() {
+    for (number, test_box) in test_boxes.iter().cycle().enumerate() {
         if start.elapsed() > time {
             break;
         }
         let attempt = format!("{target}{}-{number}", body.len());
-        answers.push(machine.call(&request(target, &attempt, body)).await?);
+        answers.push(test_box.call(&request(target, &attempt, body)).await?);
         Timer::after(ms(150)).await;
     }
     Ok(answers)
@@ -162,16 +162,16 @@
 ) -> Result<(Site, Servers, Vec<TestBox>)> {
     let site = site_with_keys()?;
     let servers = Servers::start(&site, SERVERS, crashes_on)?;
-    let machines = shared::halls(executor, &site).await?;
+    let test_boxes = shared::halls(executor, &site).await?;
     wait_until("known", async || {
         let known = |it: &TestBox| it.router.relay().fleet.len() == SERVERS as usize;
-        Ok(machines.iter().all(known))
+        Ok(test_boxes.iter().all(known))
     })
     .await?;
     // Boxes that report a placement to each other have found their hubs.
-    shared::ask_about(&machines[1], 100).await?;
-    shared::agreed(&machines, 100).await?;
-    Ok((site, servers, machines))
+    shared::ask_about(&test_boxes[1], 100).await?;
+    shared::agreed(&test_boxes, 100).await?;
+    Ok((site, servers, test_boxes))
 }
 
 /// Runs `test` while servers that crash are replaced.
--- a/crates/relay/tests/relay/crashing.rs
+++ b/crates/relay/tests/relay/crashing.rs
@@ -36,8 +36,8 @@
 #[test]
 fn a_request_that_crashes_its_servers_is_forwarded_no_more() -> Result {
     run(async |executor| {
-        let (site, servers, machines) = fleet(&executor, &[CRASHING]).await?;
-        let repeated = send_repeatedly(&machines, "/o/x", CRASHING, ms(8_000));
+        let (site, servers, test_boxes) = fleet(&executor, &[CRASHING]).await?;
+        let repeated = send_repeatedly(&test_boxes, "/o/x", CRASHING, ms(8_000));
         let answers = with_replacements(&servers, &site, repeated).await?;
         let (crashed, late) = (servers.crashes(CRASHING).len(), servers.late(CRASHING));
         ensure!(
@@ -72,8 +72,8 @@
 /// The same on a route of another kind.
 fn on_route(target: &'static str) -> Result {
     run(async |executor| {
-        let (site, servers, machines) = fleet(&executor, &[CRASHING]).await?;
-        let repeated = send_repeatedly(&machines, target, CRASHING, ms(7_000));
+        let (site, servers, test_boxes) = fleet(&executor, &[CRASHING]).await?;
+        let repeated = send_repeatedly(&test_boxes, target, CRASHING, ms(7_000));
         with_replacements(&servers, &site, repeated).await?;
         crashed_few(&servers, CRASHING)
     })
@@ -98,13 +98,13 @@
 fn several_requests_that_crash_their_servers_are_forwarded_no_more() -> Result {
     const OTHERS: [&[u8]; 3] = [CRASHING, b"ends it too", b"and so does this"];
     run(async |executor| {
-        let (site, servers, machines) = fleet(&executor, &OTHERS).await?;
+        let (site, servers, test_boxes) = fleet(&executor, &OTHERS).await?;
         let [first, second, third] = OTHERS;
         let repeated = futures_lite::future::try_zip(
-            send_repeatedly(&machines, "/o/x", first, ms(8_000)),
+            send_repeatedly(&test_boxes, "/o/x", first, ms(8_000)),
             futures_lite::future::try_zip(
-                send_repeatedly(&machines[1..], "/o/x", second, ms(8_000)),
-                send_repeatedly(&machines, "/u/x", third, ms(8_000)),
+                send_repeatedly(&test_boxes[1..], "/o/x", second, ms(8_000)),
+                send_repeatedly(&test_boxes, "/u/x", third, ms(8_000)),
             ),
         );
         with_replacements(&servers, &site, repeated).await?;
@@ -120,15 +120,15 @@
 #[test]
 fn a_refused_request_gets_a_true_refusal_at_once() -> Result {
     run(async |executor| {
-        let (site, servers, machines) = fleet(&executor, &[CRASHING]).await?;
+        let (site, servers, test_boxes) = fleet(&executor, &[CRASHING]).await?;
         let test = async {
-            send_repeatedly(&machines, "/o/x", CRASHING, ms(1_500)).await?;
+            send_repeatedly(&test_boxes, "/o/x", CRASHING, ms(1_500)).await?;
             Timer::after(CONTACT_TIME).await;
-            for machine in &machines {
+            for test_box in &test_boxes {
                 let before = servers.arrivals(CRASHING).len();
                 let start = Instant::now();
-                let attempt = format!("refused-{}", machine.name);
-                let answer = machine.call(&request("/o/x", &attempt, CRASHING)).await?;
+                let attempt = format!("refused-{}", test_box.name);
+                let answer = test_box.call(&request("/o/x", &attempt, CRASHING)).await?;
                 ensure_not_executed(&answer)?;
                 ensure!(start.elapsed() < ms(250), "after {:?}", start.elapsed());
                 let wait = answer.field(names::RETRY_AFTER).unwrap_or("0");
@@ -138,8 +138,8 @@
                     "{left:?}"
                 );
                 ensure!(servers.arrivals(CRASHING).len() == before, "it was sent");
-                let other = format!("other-{}", machine.name);
-                let answer = machine.call(&request("/o/x", &other, b"harmless")).await?;
+                let other = format!("other-{}", test_box.name);
+                let answer = test_box.call(&request("/o/x", &other, b"harmless")).await?;
                 ensure!(answer.status == 200, "{answer:?}");
             }
             Ok(())
@@ -153,19 +153,19 @@
 #[test]
 fn boxes_that_were_not_running_learn_what_is_refused() -> Result {
     run(async |executor| {
-        let (site, servers, machines) = fleet(&executor, &[CRASHING]).await?;
+        let (site, servers, test_boxes) = fleet(&executor, &[CRASHING]).await?;
         let test = async {
-            machines[1].freeze(true);
-            send_repeatedly(&machines[..1], "/o/x", CRASHING, ms(2_500)).await?;
-            machines[1].freeze(false);
+            test_boxes[1].freeze(true);
+            send_repeatedly(&test_boxes[..1], "/o/x", CRASHING, ms(2_500)).await?;
+            test_boxes[1].freeze(false);
             let late = TestBox::start(&executor, &site, "box-9", "hall-2", 3_000).await?;
-            box_harness::ready(std::slice::from_ref(&late)).await?;
+            box_harness::wait_until_ready(std::slice::from_ref(&late)).await?;
             Timer::after(CONTACT_TIME).await;
             let before = servers.arrivals(CRASHING).len();
-            for machine in machines.iter().chain([&late]) {
-                let attempt = format!("late-{}", machine.name);
-                let answer = machine.call(&request("/o/x", &attempt, CRASHING)).await?;
-                ensure!(answer.status == 503, "{}: {answer:?}", machine.name);
+            for test_box in test_boxes.iter().chain([&late]) {
+                let attempt = format!("late-{}", test_box.name);
+                let answer = test_box.call(&request("/o/x", &attempt, CRASHING)).await?;
+                ensure!(answer.status == 503, "{}: {answer:?}", test_box.name);
             }
             let sent = servers.arrivals(CRASHING).len() - before;
             ensure!(sent == 0, "sent {sent} times");
@@ -179,11 +179,11 @@
 #[test]
 fn boxes_learn_what_is_refused_without_their_hub() -> Result {
     run(async |executor| {
-        let (site, servers, machines) = fleet(&executor, &[CRASHING]).await?;
+        let (site, servers, test_boxes) = fleet(&executor, &[CRASHING]).await?;
         let test = async {
-            send_repeatedly(&machines[1..2], "/o/x", CRASHING, ms(100)).await?;
-            machines[0].freeze(true);
-            send_repeatedly(&machines[1..], "/o/x", CRASHING, ms(8_000)).await
+            send_repeatedly(&test_boxes[1..2], "/o/x", CRASHING, ms(100)).await?;
+            test_boxes[0].freeze(true);
+            send_repeatedly(&test_boxes[1..], "/o/x", CRASHING, ms(8_000)).await
         };
         with_replacements(&servers, &site, test).await?;
         crashed_few(&servers, CRASHING)
@@ -195,12 +195,12 @@
 #[test]
 fn requests_that_ran_beside_the_cause_are_served() -> Result {
     run(async |executor| {
-        let (site, servers, machines) = fleet(&executor, &[CRASHING]).await?;
+        let (site, servers, test_boxes) = fleet(&executor, &[CRASHING]).await?;
         let beside_it: Vec<String> = (0..10)
             .map(|number| format!("bystander {number}"))
             .collect();
         let test = async {
-            let guilty = send_repeatedly(&machines, "/o/x", CRASHING, ms(5_000));
+            let guilty = send_repeatedly(&test_boxes, "/o/x", CRASHING, ms(5_000));
             let others = async {
                 let start = Instant::now();
                 let mut refused = 0;
@@ -209,10 +209,10 @@
                         break;
                     }
                     for (number, body) in beside_it.iter().enumerate() {
-                        let machine = &machines[(round + number) % machines.len()];
+                        let test_box = &test_boxes[(round + number) % test_boxes.len()];
                         let attempt = format!("by-{round}-{number}");
                         let call = request("/r/x", &attempt, body.as_bytes());
-                        let answer = machine.call(&call).await?;
+                        let answer = test_box.call(&call).await?;
                         // A request that was in flight at two servers that crashed is
                         // answered with 503.
                         refused += usize::from(answer.status == 503);
@@ -228,7 +228,7 @@
             "the case did not arise"
         );
         ensure!(refused == 0, "{refused} refused");
-        let held = machines.iter().map(|it| {
+        let held = test_boxes.iter().map(|it| {
             it.router
                 .relay()
                 .crashes
@@ -253,7 +253,7 @@
 #[test]
 fn requests_are_served_though_servers_crash_by_themselves() -> Result {
     run(async |executor| {
-        let (site, servers, machines) = fleet(&executor, &[]).await?;
+        let (site, servers, test_boxes) = fleet(&executor, &[]).await?;
         let test = async {
             let ending = async {
                 for number in 0..12 {
@@ -265,11 +265,11 @@
             let asked = async {
                 let mut refused = Vec::new();
                 for round in 0..60 {
-                    for (number, machine) in machines.iter().enumerate() {
+                    for (number, test_box) in test_boxes.iter().enumerate() {
                         let attempt = format!("innocent-{round}-{number}");
                         let body = format!("the same again {}", round % 5);
                         let call = request("/r/x", &attempt, body.as_bytes());
-                        let answer = machine.call(&call).await?;
+                        let answer = test_box.call(&call).await?;
                         if is_for_content(&answer) {
                             refused.push(attempt);
                         }
@@ -305,7 +305,7 @@
                 wait_until("running", async || Ok(server.running() == 1)).await?;
                 way.cut();
                 Timer::after(ms(600)).await;
-                way.mend();
+                way.restore_link();
                 Ok(())
             };
             let (answer, ()) = futures_lite::future::try_zip(harness.call(&call), cut).await?;
@@ -329,9 +329,9 @@
 #[test]
 fn the_operator_cancels_a_refusal() -> Result {
     run(async |executor| {
-        let (site, servers, machines) = fleet(&executor, &[CRASHING]).await?;
+        let (site, servers, test_boxes) = fleet(&executor, &[CRASHING]).await?;
         let test = async {
-            send_repeatedly(&machines, "/o/x", CRASHING, ms(2_000)).await?;
+            send_repeatedly(&test_boxes, "/o/x", CRASHING, ms(2_000)).await?;
             Timer::after(ms(1_500)).await;
             // Servers no longer crash under it from now on.
             servers.mend();
@@ -342,16 +342,16 @@
                 caller: "",
                 body: CRASHING,
             });
-            for machine in &machines {
-                let answer = machine.call(&request("/o/x", "before", CRASHING)).await?;
-                ensure!(answer.status == 503, "{}: {answer:?}", machine.name);
+            for test_box in &test_boxes {
+                let answer = test_box.call(&request("/o/x", "before", CRASHING)).await?;
+                ensure!(answer.status == 503, "{}: {answer:?}", test_box.name);
             }
-            machines[2].pardon(content)?;
+            test_boxes[2].pardon(content)?;
             Timer::after(ms(2_500)).await;
-            for machine in &machines {
-                let attempt = format!("after-{}", machine.name);
-                let answer = machine.call(&request("/o/x", &attempt, CRASHING)).await?;
-                ensure!(answer.status == 200, "{}: {answer:?}", machine.name);
+            for test_box in &test_boxes {
+                let attempt = format!("after-{}", test_box.name);
+                let answer = test_box.call(&request("/o/x", &attempt, CRASHING)).await?;
+                ensure!(answer.status == 200, "{}: {answer:?}", test_box.name);
             }
             Ok(())
         };
--- a/crates/relay/tests/relay/emptied_halls.rs
+++ b/crates/relay/tests/relay/emptied_halls.rs
@@ -14,7 +14,7 @@
 use tidepier_relay_standin::store::Down;
 use tidepier_relay_standin::{names, Client};
 
-use crate::box_harness::{ready, started, TestBox};
+use crate::box_harness::{start_boxes_with_reader, wait_until_ready, TestBox};
 use crate::choice_harness::id;
 use crate::harness::{
     count_deliveries, ensure_not_executed, ensure_served_by, ms, post, run, server_settings, site,
@@ -35,17 +35,17 @@
 }
 
 /// Waits until boxes send nothing more to a server, for no longer than promised.
-async fn emptied(machines: &[TestBox], server: &Server, since: Instant) -> Result {
-    for machine in machines {
-        wait_until("emptied", async || Ok(!machine.sends_to(server)?)).await?;
+async fn emptied(test_boxes: &[TestBox], server: &Server, since: Instant) -> Result {
+    for test_box in test_boxes {
+        wait_until("emptied", async || Ok(!test_box.sends_to(server)?)).await?;
         ensure!(since.elapsed() < EMPTY_TIME, "{:?}", since.elapsed());
     }
     Ok(())
 }
 
-async fn in_use_again(machines: &[TestBox], server: &Server, since: Instant) -> Result {
-    for machine in machines {
-        wait_until("in use again", async || machine.sends_to(server)).await?;
+async fn in_use_again(test_boxes: &[TestBox], server: &Server, since: Instant) -> Result {
+    for test_box in test_boxes {
+        wait_until("in use again", async || test_box.sends_to(server)).await?;
         ensure!(since.elapsed() < EMPTY_TIME, "{:?}", since.elapsed());
     }
     Ok(())
@@ -57,23 +57,23 @@
         let site = site()?;
         let near = site.server(server_settings(1))?;
         let far = site.server(server_settings(2))?;
-        let machines = started(&executor, &site, 3).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 3).await?;
         for _ in 0..2 {
             let since = Instant::now();
             site.empty_hall("hall-1");
-            emptied(&machines, &near, since).await?;
+            emptied(&test_boxes, &near, since).await?;
             Timer::after(IN_FLIGHT_TIME).await;
             let quiet = Instant::now();
-            for (number, machine) in machines.iter().cycle().take(60).enumerate() {
+            for (number, test_box) in test_boxes.iter().cycle().take(60).enumerate() {
                 let attempt = format!("{number}");
                 let path = ["/r/x", "/o/x", "/s/x"][number % 3];
-                let answer = machine.call(&post(path, &attempt)).await?;
+                let answer = test_box.call(&post(path, &attempt)).await?;
                 ensure_served_by(&answer, &[&far], &attempt)?;
             }
             ensure!(after(&near, quiet) == 0, "sent to an emptied hall");
             let since = Instant::now();
             site.take_back("hall-1");
-            in_use_again(&machines, &near, since).await?;
+            in_use_again(&test_boxes, &near, since).await?;
         }
         Ok(())
     })
@@ -88,26 +88,26 @@
             site.server(server_settings(2))?,
         ];
         let stays = site.server(server_settings(3))?;
-        let machines = started(&executor, &site, 2).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 2).await?;
         let since = Instant::now();
         site.empty_hall("hall-2");
         site.empty_hall("hall-1");
         site.empty_hall("a-hall-that-nobody-knows");
         for server in &servers {
-            emptied(&machines, server, since).await?;
+            emptied(&test_boxes, server, since).await?;
         }
         ensure_served_by(
-            &machines[1].call(&post("/r/x", "only")).await?,
+            &test_boxes[1].call(&post("/r/x", "only")).await?,
             &[&stays],
             "only",
         )?;
         let since = Instant::now();
         site.take_back("hall-2");
         site.take_back("a-hall-that-nobody-knows");
-        in_use_again(&machines, &servers[1], since).await?;
-        for machine in &machines {
+        in_use_again(&test_boxes, &servers[1], since).await?;
+        for test_box in &test_boxes {
             ensure!(
-                !machine.sends_to(&servers[0])?,
+                !test_box.sends_to(&servers[0])?,
                 "the emptying of hall-1 was cancelled too"
             );
         }
@@ -121,18 +121,18 @@
         let site = site()?;
         let near = site.server(server_settings(1))?;
         let _far = site.server(server_settings(2))?;
-        let machines = started(&executor, &site, 2).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 2).await?;
         for _ in 0..2 {
             site.store.deaf(ms(3_000));
             site.store.cut_watches();
             Timer::after(ms(50)).await;
             let since = Instant::now();
             site.empty_hall("hall-1");
-            emptied(&machines, &near, since).await?;
+            emptied(&test_boxes, &near, since).await?;
             let since = Instant::now();
             site.take_back("hall-1");
             site.store.compact();
-            in_use_again(&machines, &near, since).await?;
+            in_use_again(&test_boxes, &near, since).await?;
         }
         Ok(())
     })
@@ -144,22 +144,22 @@
         let site = site()?;
         let near = site.server(server_settings(1))?;
         let _far = site.server(server_settings(2))?;
-        let machines = started(&executor, &site, 2).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 2).await?;
         site.store.faults(|faults| faults.down = Some(Down::Silent));
         Timer::after(ms(1_500)).await;
         site.empty_hall("hall-1");
         let since = Instant::now();
         site.store.faults(|faults| faults.down = None);
-        emptied(&machines, &near, since).await?;
+        emptied(&test_boxes, &near, since).await?;
         site.store.faults(|faults| faults.down = Some(Down::Reset));
         Timer::after(ms(1_500)).await;
-        for machine in &machines {
-            ensure!(!machine.sends_to(&near)?, "no longer emptied in an outage");
+        for test_box in &test_boxes {
+            ensure!(!test_box.sends_to(&near)?, "no longer emptied in an outage");
         }
         site.take_back("hall-1");
         let since = Instant::now();
         site.store.faults(|faults| faults.down = None);
-        in_use_again(&machines, &near, since).await
+        in_use_again(&test_boxes, &near, since).await
     })
 }
 
@@ -170,17 +170,17 @@
         let near = site.server(server_settings(1))?;
         let far = site.server(server_settings(2))?;
         site.empty_hall("hall-1");
-        let mut machines = started(&executor, &site, 2).await?;
-        for machine in &machines {
-            ensure!(!machine.sends_to(&near)?, "known too late");
+        let mut test_boxes = start_boxes_with_reader(&executor, &site, 2).await?;
+        for test_box in &test_boxes {
+            ensure!(!test_box.sends_to(&near)?, "known too late");
         }
         // One more box, which learns of it from another.
         let late = TestBox::start(&executor, &site, "box-9", "hall-1", 100).await?;
-        machines.push(late);
-        ready(&machines).await?;
-        ensure!(!machines[2].sends_to(&near)?, "known too late");
+        test_boxes.push(late);
+        wait_until_ready(&test_boxes).await?;
+        ensure!(!test_boxes[2].sends_to(&near)?, "known too late");
         ensure_served_by(
-            &machines[2].call(&post("/r/x", "late")).await?,
+            &test_boxes[2].call(&post("/r/x", "late")).await?,
             &[&far],
             "late",
         )?;
@@ -368,8 +368,8 @@
             } else {
                 let hall = format!("hall-{}", changes[at].hall).parse().expect("a name");
                 match changes[at].empty {
-                    true => known.empty(hall, Revision::of(at as u64 + 1), None),
-                    false => known.take_back(hall, Revision::of(at as u64 + 1)),
+                    true => known.record_emptied(hall, Revision::of(at as u64 + 1), None),
+                    false => known.cancel(hall, Revision::of(at as u64 + 1)),
                 }
             }
         }
--- a/crates/relay/tests/relay/entries.rs
+++ b/crates/relay/tests/relay/entries.rs
@@ -13,7 +13,7 @@
 use tidepier_relay_standin::store::Down;
 use tidepier_relay_standin::Client;
 
-use crate::box_harness::{ready, settled, started, TestBox};
+use crate::box_harness::{start_boxes_with_reader, wait_for_readers, wait_until_ready, TestBox};
 use crate::harness::{
     ensure_served_by, ms, post, run, server_settings, site, stream_server_settings, wait_until,
     Harness, Result,
@@ -59,7 +59,7 @@
         let site = site()?;
         let lost = site.server(server_settings(1))?;
         let _stays = site.server(server_settings(2))?;
-        let test_boxes = started(&executor, &site, 2).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 2).await?;
         for _ in 0..2 {
             make_unresponsive(&site);
             // The retry delays between calls grow.
@@ -86,13 +86,13 @@
         let site = site()?;
         let gone = site.server(server_settings(1))?;
         let _stays = site.server(server_settings(2))?;
-        let mut test_boxes = started(&executor, &site, 2).await?;
+        let mut test_boxes = start_boxes_with_reader(&executor, &site, 2).await?;
         make_unresponsive(&site);
         let second = &test_boxes[1];
-        wait_until("noticed", async || Ok(second.store.asked() > 0)).await?;
+        wait_until("noticed", async || Ok(second.store.request_bytes() > 0)).await?;
         Timer::after(ms(2_500)).await;
         site.store.faults(|faults| faults.down = None);
-        settled(&test_boxes, &[0]).await?;
+        wait_for_readers(&test_boxes, &[0]).await?;
         Timer::after(CONTACT_TIME).await;
         // The store was reachable for long; the reader stops, and the other box takes
         // its place.
@@ -101,13 +101,13 @@
         site.withdraw(&gone);
         dropped(&test_boxes[0], &gone).await?;
         ensure!(withdrawn.elapsed() < ms(2_000), "{:?}", withdrawn.elapsed());
-        ready(&test_boxes).await
+        wait_until_ready(&test_boxes).await
     })
 }
 
 #[test]
 fn the_grace_period_lasts_while_entries_return() {
-    let contact = CONTACT_TIME;
+    let grace_period = CONTACT_TIME;
     let start = Instant::now();
     let at = |count| start + ms(count);
     let availability = Availability::default();
@@ -116,10 +116,10 @@
     assert!(!availability.record_failure(at(1_000)));
     assert!(!availability.is_authoritative(at(60_000)));
     // The store came back between 1.0 s and 1.3 s.
-    assert!(availability.record_recovery(at(1_300), contact));
-    assert!(!availability.record_recovery(at(1_400), contact));
+    assert!(availability.record_recovery(at(1_300), grace_period));
+    assert!(!availability.record_recovery(at(1_400), grace_period));
     assert!(!availability.is_authoritative(at(1_300) + RETURN_TIME));
-    assert!(availability.is_authoritative(at(1_000) + contact - ms(499)));
+    assert!(availability.is_authoritative(at(1_000) + grace_period - ms(499)));
 }
 
 #[test]
@@ -145,7 +145,7 @@
     run(async |executor| {
         let site = site()?;
         let server = site.server(server_settings(1))?;
-        let test_boxes = started(&executor, &site, 2).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 2).await?;
         let id = server.settings().id.parse()?;
         let key = format!("{}{id}", tidepier_relay_standin::names::SERVERS);
         let entry = site.store.value(&key).ok_or_else(|| eyre!("no entry"))?;
@@ -168,11 +168,11 @@
     run(async |executor| {
         let site = site()?;
         let server = site.server(server_settings(1))?;
-        let house = Harness::start_ready(executor, site).await?;
+        let harness = Harness::start_ready(executor, site).await?;
         let mut other = server_settings(1);
         other.service = "service-2".into();
-        let other = house.site.server(other)?;
-        let fleet = &house.router.relay().fleet;
+        let other = harness.site.server(other)?;
+        let fleet = &harness.router.relay().fleet;
         let old = server.settings().service.parse()?;
         let new = other.settings().service.parse()?;
         wait_until("moved", async || Ok(fleet.serving(&new).len() == 1)).await?;
@@ -186,18 +186,18 @@
     run(async |executor| {
         let site = site()?;
         let gone = site.server(stream_server_settings(1, 20, ms(100)))?;
-        let house = Harness::start_ready(executor.clone(), site).await?;
-        let front = house.router_address();
+        let harness = Harness::start_ready(executor.clone(), site).await?;
+        let front = harness.router_address();
         let call = post("/u/x", "long");
         let stream = executor.spawn(async move { Client::once(front, &call).await });
         wait_until("started", async || Ok(gone.running() == 1)).await?;
-        let stays = house.site.server(stream_server_settings(2, 20, ms(1)))?;
+        let stays = harness.site.server(stream_server_settings(2, 20, ms(1)))?;
         // It never advertises that it is leaving.
-        house.site.withdraw(&gone);
-        let fleet = &house.router.relay().fleet;
+        harness.site.withdraw(&gone);
+        let fleet = &harness.router.relay().fleet;
         let id = gone.settings().id.parse()?;
         wait_until("dropped", async || Ok(fleet.get(&id).is_none())).await?;
-        let answer = house.post("/u/x", "other").await?;
+        let answer = harness.post("/u/x", "other").await?;
         ensure_served_by(&answer, &[&stays], "other")?;
         ensure_served_by(&stream.await?, &[&gone], "long")
     })
@@ -208,13 +208,13 @@
     run(async |executor| {
         let site = site()?;
         let server = site.server(server_settings(1))?;
-        let house = Harness::start_ready(executor, site).await?;
-        let fleet = &house.router.relay().fleet;
+        let harness = Harness::start_ready(executor, site).await?;
+        let fleet = &harness.router.relay().fleet;
         let id = server.settings().id.parse()?;
         let before = fleet.get(&id).ok_or_else(|| eyre!("unknown"))?;
         for _ in 0..3 {
             // Only its sequence differs.
-            house.site.announce(&server, State::Ready);
+            harness.site.announce(&server, State::Ready);
             Timer::after(ms(100)).await;
         }
         // Nothing from the server for longer than three heartbeats.
@@ -222,7 +222,7 @@
         while start.elapsed() < ms(4_000) {
             Timer::after(ms(200)).await;
             let attempt = format!("{:?}", start.elapsed());
-            ensure_served_by(&house.post("/r/x", &attempt).await?, &[&server], &attempt)?;
+            ensure_served_by(&harness.post("/r/x", &attempt).await?, &[&server], &attempt)?;
         }
         let after = fleet.get(&id).ok_or_else(|| eyre!("dropped"))?;
         ensure!(std::rc::Rc::ptr_eq(&before, &after), "removed in between");
--- a/crates/relay/tests/relay/era_state.rs
+++ b/crates/relay/tests/relay/era_state.rs
@@ -13,13 +13,13 @@
 use tidepier_core::catalog::Version;
 use tidepier_core::era::{Era, Revision, Tracker};
 use tidepier_relay::emptied_halls::{EmptiedHalls, List, Row};
-use tidepier_relay::era_state::{Entry, EraState, Evidence, Origin, Precedence, Prior, Waits};
+use tidepier_relay::era_state::{Delays, Entry, EraState, Evidence, Origin, Precedence, Prior};
 
 use crate::harness::{ms, Result};
 
 /// Times after which the store's entries are authoritative again and the operator has
 /// rewritten the lost ones.
-const WAITS: Waits = Waits {
+const DELAYS: Delays = Delays {
     stable: Duration::from_secs(3),
     rewrite: Duration::from_secs(5),
 };
@@ -55,22 +55,22 @@
 }
 
 fn evaluate(era_state: &EraState, stored: Entry, at: Instant) -> Option<Evidence> {
-    era_state.evaluate(Some(stored), Some(Version(60)), WAITS, at)
+    era_state.evaluate(Some(stored), Some(Version(60)), DELAYS, at)
 }
 
 #[test]
 fn a_version_older_than_the_one_in_force_is_no_evidence() -> Result {
     let now = Instant::now();
     let era_state = restored(39, now);
-    era_state.ask();
+    era_state.mark_peers_queried();
     for stored in [entry(45, 2, 39), entry(45, 2, 41), entry(59, 2, 60)] {
         let evidence = evaluate(&era_state, stored, now + ms(100));
         ensure!(evidence.is_none(), "{stored:?}: {evidence:?}");
     }
-    let evidence = era_state.evaluate(None, Some(Version(60)), WAITS, now);
+    let evidence = era_state.evaluate(None, Some(Version(60)), DELAYS, now);
     ensure!(evidence.is_none(), "no entry: {evidence:?}");
     // The operator did not rewrite the configuration.
-    let evidence = evaluate(&era_state, entry(45, 2, 39), now + WAITS.rewrite);
+    let evidence = evaluate(&era_state, entry(45, 2, 39), now + DELAYS.rewrite);
     ensure!(evidence == Some(Evidence::Waited), "{evidence:?}");
     Ok(())
 }
@@ -105,17 +105,17 @@
         evaluate(&era_state, stored, now).is_none(),
         "no other box was queried"
     );
-    era_state.ask();
+    era_state.mark_peers_queried();
     let early = evaluate(&era_state, stored, now + ms(2_900));
     ensure!(
         early.is_none(),
         "before the store is authoritative: {early:?}"
     );
-    let stable = now + WAITS.stable;
+    let stable = now + DELAYS.stable;
     let evidence = evaluate(&era_state, stored, stable);
     ensure!(evidence == Some(Evidence::Same), "{evidence:?}");
     // Another box reported a higher version meanwhile.
-    let evidence = era_state.evaluate(Some(stored), Some(Version(61)), WAITS, stable);
+    let evidence = era_state.evaluate(Some(stored), Some(Version(61)), DELAYS, stable);
     ensure!(evidence.is_none(), "{evidence:?}");
     // A query in one era does not count in the next.
     ensure!(
@@ -132,7 +132,7 @@
 #[test]
 fn state_older_than_any_backup_has_no_precedence() -> Result {
     let now = Instant::now();
-    let (before, within) = (known(60, 1, 43, 45), WAITS.rewrite);
+    let (before, within) = (known(60, 1, 43, 45), DELAYS.rewrite);
     for (age, stands) in [
         (Some(ms(4_900)), true),
         (Some(ms(5_100)), false),
@@ -141,10 +141,13 @@
         let era_state = EraState::default();
         era_state.observe(revision(1, 10), Prior::default(), now);
         era_state.observe(revision(2, 39), Prior { age, ..before }, now);
-        let hold = era_state.hold_recent(within, now + ms(100));
-        ensure!(hold.is_some() == stands, "{age:?}: {hold:?}");
-        ensure!(era_state.hold(within, now + ms(100)).is_some(), "{age:?}");
-        let over = era_state.hold_recent(within, now + within);
+        let precedence = era_state.recent_precedence(within, now + ms(100));
+        ensure!(precedence.is_some() == stands, "{age:?}: {precedence:?}");
+        ensure!(
+            era_state.precedence(within, now + ms(100)).is_some(),
+            "{age:?}"
+        );
+        let over = era_state.recent_precedence(within, now + within);
         ensure!(over.is_none(), "{age:?}: {over:?}");
     }
     Ok(())
@@ -171,9 +174,9 @@
 fn a_store_without_eras_is_complete() -> Result {
     let now = Instant::now();
     let era_state = EraState::default();
-    ensure!(era_state.is_open(), "no state was observed yet");
+    ensure!(era_state.is_unsettled(), "no state was observed yet");
     era_state.observe(revision(0, 7), Prior::default(), now);
-    ensure!(era_state.is_settled() && era_state.may_begin());
+    ensure!(era_state.is_settled() && era_state.may_serve());
     ensure!(era_state.origin(revision(0, 3)) == Origin::Era);
     // The store reports an era from its first restore on.
     era_state.observe(revision(1, 3), known(60, 0, 6, 7), now);
@@ -186,24 +189,24 @@
 fn a_box_that_starts_serves_once_others_were_queried() -> Result {
     let now = Instant::now();
     let era_state = EraState::default();
-    ensure!(era_state.may_begin(), "nothing is known");
+    ensure!(era_state.may_serve(), "nothing is known");
     era_state.observe(revision(2, 40), Prior::default(), now);
-    ensure!(!era_state.may_begin() && era_state.is_open());
-    era_state.ask();
-    ensure!(era_state.may_begin() && era_state.is_open());
+    ensure!(!era_state.may_serve() && era_state.is_unsettled());
+    era_state.mark_peers_queried();
+    ensure!(era_state.may_serve() && era_state.is_unsettled());
     // A start that is not the first one is not settled by the box's own look at the
     // store.
     let evidence = era_state.evaluate(
         Some(entry(45, 2, 39)),
         Some(Version(45)),
-        WAITS,
+        DELAYS,
         now + ms(900),
     );
     ensure!(evidence.is_none(), "{evidence:?}");
     let first = EraState::default();
     first.record_first_start();
     first.observe(revision(1, 1), Prior::default(), now);
-    ensure!(first.is_settled() && first.may_begin());
+    ensure!(first.is_settled() && first.may_serve());
     first.observe(revision(2, 1), Prior::default(), now);
     ensure!(!first.is_settled(), "only once");
     Ok(())
@@ -278,7 +281,7 @@
                     let seen = in_force;
                     in_force = in_force.max(stored.map(|it| it.version));
                     (at, state) = (stored, now_at);
-                    let evidence = era_state.evaluate(stored, in_force, WAITS, now);
+                    let evidence = era_state.evaluate(stored, in_force, DELAYS, now);
                     if evidence.is_some() && evidence != Some(Evidence::Waited) {
                         let version = stored.map(|it| it.version);
                         prop_assert!(version >= seen, "{version:?} of {seen:?} by {evidence:?}");
@@ -305,9 +308,9 @@
         };
         for (hall, empty) in before.iter().enumerate() {
             // Each hall was emptied once.
-            emptied.empty(name(hall), revision(1, 30 + hall as u64), None);
+            emptied.record_emptied(name(hall), revision(1, 30 + hall as u64), None);
             if !empty {
-                emptied.take_back(name(hall), revision(1, 40 + hall as u64));
+                emptied.cancel(name(hall), revision(1, 40 + hall as u64));
             }
         }
         let rows = copy.iter().enumerate().filter(|(_, there)| **there);
@@ -316,8 +319,8 @@
             revision: revision(2, 5 + hall as u64),
         });
         let list = List { rows: rows.collect(), seen: revision(2, 20) };
-        let hold = Some(Precedence::new(revision(2, 20)));
-        prop_assert!(emptied.merge(&list, hold), "differs beyond what takes precedence");
+        let precedence = Some(Precedence::new(revision(2, 20)));
+        prop_assert!(emptied.merge(&list, precedence), "differs beyond what takes precedence");
         let halls = emptied.halls();
         for (hall, empty) in before.iter().enumerate() {
             prop_assert_eq!(halls.contains(&name(hall)), *empty, "hall {}", hall);
@@ -325,8 +328,8 @@
         for (hall, change) in later.iter().enumerate() {
             let at = revision(2, 25 + hall as u64);
             match change {
-                Some(true) => emptied.empty(name(hall), at, hold),
-                Some(false) => emptied.take_back(name(hall), at),
+                Some(true) => emptied.record_emptied(name(hall), at, precedence),
+                Some(false) => emptied.cancel(name(hall), at),
                 None => {}
             }
         }
--- a/crates/relay/tests/relay/eras.rs
+++ b/crates/relay/tests/relay/eras.rs
@@ -17,7 +17,8 @@
 use tidepier_relay_standin::store::{Copy, Down};
 
 use crate::box_harness::{
-    self, address, ready, site_with_keys, started, with_key, Process, TestBox, REVOKE_TIME,
+    self, address, site_with_keys, start_boxes_with_reader, wait_until_ready, with_key, Process,
+    TestBox, REVOKE_TIME,
 };
 use crate::harness::{
     ensure_not_executed, ensure_served_by, ms, post, run, server_settings, start_with_one_server,
@@ -37,16 +38,16 @@
 }
 
 /// Waits until a route is served.
-async fn served(house: &Harness, prefix: &str) -> Result {
+async fn served(harness: &Harness, prefix: &str) -> Result {
     wait_until("served", async || {
-        Ok(house.post(&format!("{prefix}x"), "probe").await?.status == 200)
+        Ok(harness.post(&format!("{prefix}x"), "probe").await?.status == 200)
     })
     .await
 }
 
 /// Checks that a route that was added at `since` is served in time.
-async fn in_force(house: &Harness, prefix: &str, since: Instant) -> Result {
-    served(house, prefix).await?;
+async fn in_force(harness: &Harness, prefix: &str, since: Instant) -> Result {
+    served(harness, prefix).await?;
     ensure!(since.elapsed() < APPLY_TIME, "{:?}", since.elapsed());
     Ok(())
 }
@@ -82,18 +83,18 @@
 #[test]
 fn a_configuration_at_a_lower_revision_applies_in_time() -> Result {
     run(async |executor| {
-        let (_server, house) = start_with_one_server(executor).await?;
-        let copy = house.site.store.copy();
+        let (_server, harness) = start_with_one_server(executor).await?;
+        let copy = harness.site.store.copy();
         for prefix in ["/a/", "/b/", "/c/"] {
-            house.site.declare(&[route(prefix)]);
-            served(&house, prefix).await?;
+            harness.site.declare(&[route(prefix)]);
+            served(&harness, prefix).await?;
         }
-        let before = house.site.store.revision();
-        restore_after_outage(&house.site, &copy).await;
+        let before = harness.site.store.revision();
+        restore_after_outage(&harness.site, &copy).await;
         let since = Instant::now();
-        house.site.declare(&[route("/new/")]);
-        ensure!(house.site.store.revision() < before);
-        in_force(&house, "/new/", since).await
+        harness.site.declare(&[route("/new/")]);
+        ensure!(harness.site.store.revision() < before);
+        in_force(&harness, "/new/", since).await
     })
 }
 
@@ -102,17 +103,17 @@
 #[test]
 fn a_reused_revision_confirms_nothing() -> Result {
     run(async |executor| {
-        let (_server, house) = start_with_one_server(executor).await?;
-        let copy = house.site.store.copy();
-        house.site.declare(&[route("/a/")]);
-        served(&house, "/a/").await?;
-        let before = house.site.store.revision();
-        house.site.store.deaf(ms(20_000));
-        restore_after_outage(&house.site, &copy).await;
+        let (_server, harness) = start_with_one_server(executor).await?;
+        let copy = harness.site.store.copy();
+        harness.site.declare(&[route("/a/")]);
+        served(&harness, "/a/").await?;
+        let before = harness.site.store.revision();
+        harness.site.store.deaf(ms(20_000));
+        restore_after_outage(&harness.site, &copy).await;
         let since = Instant::now();
-        house.site.declare(&[route("/new/")]);
-        ensure!(house.site.store.revision() == before);
-        in_force(&house, "/new/", since).await
+        harness.site.declare(&[route("/new/")]);
+        ensure!(harness.site.store.revision() == before);
+        in_force(&harness, "/new/", since).await
     })
 }
 
@@ -120,23 +121,23 @@
 #[test]
 fn a_restore_without_an_outage_is_noticed() -> Result {
     run(async |executor| {
-        let (_server, house) = start_with_one_server(executor).await?;
-        let copy = house.site.store.copy();
+        let (_server, harness) = start_with_one_server(executor).await?;
+        let copy = harness.site.store.copy();
         for prefix in ["/a/", "/b/"] {
-            house.site.declare(&[route(prefix)]);
-            served(&house, prefix).await?;
+            harness.site.declare(&[route(prefix)]);
+            served(&harness, prefix).await?;
         }
-        let version = house.router.relay().view.version();
-        house.site.store.go_back(&copy);
+        let version = harness.router.relay().view.version();
+        harness.site.store.go_back(&copy);
         Timer::after(ms(1_500)).await;
         ensure!(
-            house.router.relay().view.version() == version,
+            harness.router.relay().view.version() == version,
             "the version decreased"
         );
-        served(&house, "/b/").await?;
+        served(&harness, "/b/").await?;
         let since = Instant::now();
-        house.site.declare(&[route("/new/")]);
-        in_force(&house, "/new/", since).await
+        harness.site.declare(&[route("/new/")]);
+        in_force(&harness, "/new/", since).await
     })
 }
 
@@ -149,7 +150,7 @@
         let server = site.server(server_settings(1))?;
         let first = site.store.copy();
         site.account("tenant-2", &["new"], 1);
-        let test_boxes = started(&executor, &site, 2).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 2).await?;
         let second = site.store.copy();
         site.declare(&[route("/a/")]);
         for test_box in &test_boxes {
@@ -190,7 +191,7 @@
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
-        let test_boxes = started(&executor, &site, 3).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 3).await?;
         let copy = site.store.copy();
         site.account("tenant-2", &["new"], 1);
         let taken = Instant::now();
@@ -235,7 +236,7 @@
         let knows = TestBox::start(&executor, &site, "box-1", "hall-1", 1_000).await?;
         let misses = TestBox::start(&executor, &site, "box-2", "hall-2", 1_000).await?;
         let test_boxes = [knows, misses];
-        ready(&test_boxes).await?;
+        wait_until_ready(&test_boxes).await?;
         // Each has listed the other.
         wait_until("listed", async || {
             Ok(test_boxes.iter().all(|it| it.router.relay().boxes() == 2))
@@ -250,7 +251,7 @@
         })
         .await?;
         site.store.go_back(&copy);
-        test_boxes[1].store.mend();
+        test_boxes[1].store.restore_link();
         while taken.elapsed() < REVOKE_TIME + ms(1_500) {
             let attempt = format!("{:?}", taken.elapsed());
             let asked = Instant::now();
@@ -272,7 +273,7 @@
     run(async |executor| {
         let site = site_with_keys()?;
         let _server = site.server(server_settings(1))?;
-        let test_boxes = started(&executor, &site, 2).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 2).await?;
         let copy = site.store.copy();
         site.account("tenant-2", &["new"], 1);
         Timer::after(ms(900)).await;
@@ -300,18 +301,18 @@
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
-        let house = Harness::start_with_settings(executor, site, |values| {
+        let harness = Harness::start_with_settings(executor, site, |values| {
             values["bounds"]["contact"] = json!(1_500);
             values["bounds"]["revoke_within"] = json!(4_000);
         })
         .await?;
-        let copy = house.site.store.copy();
-        house.site.store.put("another/key", &json!(1));
-        restore_after_outage(&house.site, &copy).await;
+        let copy = harness.site.store.copy();
+        harness.site.store.put("another/key", &json!(1));
+        restore_after_outage(&harness.site, &copy).await;
         let start = Instant::now();
         while start.elapsed() < ms(5_000) {
             let attempt = format!("{:?}", start.elapsed());
-            let answer = house.call(&with_key("stays", &attempt)).await?;
+            let answer = harness.call(&with_key("stays", &attempt)).await?;
             ensure_served_by(&answer, &[&server], &attempt)?;
             Timer::after(ms(20)).await;
         }
@@ -326,7 +327,7 @@
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
-        let test_boxes = started(&executor, &site, 2).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 2).await?;
         let copy = site.store.copy();
         site.store.faults(|faults| faults.down = Some(Down::Reset));
         site.store.cut_watches();
@@ -352,11 +353,11 @@
             Timer::after(ms(20)).await;
         }
         site.store.put_config(&newest);
-        ready(&test_boxes).await?;
+        wait_until_ready(&test_boxes).await?;
         for test_box in &test_boxes {
             refused(test_box, &server, "after").await?;
         }
-        box_harness::served(&test_boxes, &[&server], ms(300)).await
+        box_harness::ensure_served(&test_boxes, &[&server], ms(300)).await
     })
 }
 
@@ -367,7 +368,7 @@
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
-        let test_boxes = started(&executor, &site, 2).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 2).await?;
         let copy = site.store.copy();
         site.account("tenant-2", &["new"], 1);
         let version = site.declare(&[route("/a/")]);
@@ -407,7 +408,7 @@
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
-        let test_boxes = started(&executor, &site, 2).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 2).await?;
         let copy = site.store.copy();
         site.account("tenant-2", &["new"], 1);
         let newest = config(&site)?;
@@ -426,12 +427,12 @@
         }
         let since = Instant::now();
         site.store.put_config(&newest);
-        ready(&test_boxes).await?;
+        wait_until_ready(&test_boxes).await?;
         ensure!(since.elapsed() < SERVED_TIME, "{:?}", since.elapsed());
         for test_box in &test_boxes {
             refused(test_box, &server, "after").await?;
         }
-        box_harness::served(&test_boxes, &[&server], ms(300)).await
+        box_harness::ensure_served(&test_boxes, &[&server], ms(300)).await
     })
 }
 
@@ -441,7 +442,7 @@
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
-        let mut test_boxes = started(&executor, &site, 1).await?;
+        let mut test_boxes = start_boxes_with_reader(&executor, &site, 1).await?;
         let copy = site.store.copy();
         restore_after_outage(&site, &copy).await;
         site.account("tenant-2", &["new"], 1);
@@ -453,10 +454,10 @@
         test_boxes.clear();
         let since = Instant::now();
         test_boxes.push(TestBox::start(&executor, &site, "box-7", "hall-1", 1_000).await?);
-        ready(&test_boxes).await?;
+        wait_until_ready(&test_boxes).await?;
         // Otherwise it would wait for all of that time.
         ensure!(since.elapsed() < REVOKE_TIME / 2, "{:?}", since.elapsed());
-        box_harness::served(&test_boxes, &[&server], ms(100)).await
+        box_harness::ensure_served(&test_boxes, &[&server], ms(100)).await
     })
 }
 
@@ -475,7 +476,7 @@
         let waited = start.elapsed();
         ensure!(waited > REVOKE_TIME - ms(300), "{waited:?}");
         ensure!(waited < REVOKE_TIME + ms(1_500), "{waited:?}");
-        box_harness::served(&test_boxes, &[&server], ms(100)).await
+        box_harness::ensure_served(&test_boxes, &[&server], ms(100)).await
     })
 }
 
@@ -483,27 +484,27 @@
 #[test]
 fn a_late_answer_of_a_stale_era_changes_nothing() -> Result {
     run(async |executor| {
-        let (_server, house) = start_with_one_server(executor).await?;
-        let copy = house.site.store.copy();
-        house.site.declare(&[route("/a/")]);
-        served(&house, "/a/").await?;
+        let (_server, harness) = start_with_one_server(executor).await?;
+        let copy = harness.site.store.copy();
+        harness.site.declare(&[route("/a/")]);
+        served(&harness, "/a/").await?;
         // Answers that are made now arrive after the restore.
-        house.site.store.faults(|faults| faults.held = ms(700));
-        house.site.store.cut_watches();
+        harness.site.store.faults(|faults| faults.held = ms(700));
+        harness.site.store.cut_watches();
         Timer::after(ms(300)).await;
-        house.site.store.go_back(&copy);
-        house
+        harness.site.store.go_back(&copy);
+        harness
             .site
             .store
             .faults(|faults| faults.held = Duration::ZERO);
         let since = Instant::now();
-        house.site.declare(&[route("/new/")]);
-        in_force(&house, "/new/", since).await?;
+        harness.site.declare(&[route("/new/")]);
+        in_force(&harness, "/new/", since).await?;
         Timer::after(ms(900)).await;
-        served(&house, "/new/").await?;
-        let standing = &house.router.relay().standing;
-        let era = standing.era().map(|era| era.0);
-        ensure!(era == Some(house.site.store.era()), "{era:?}");
+        served(&harness, "/new/").await?;
+        let era_state = &harness.router.relay().era_state;
+        let era = era_state.era().map(|era| era.0);
+        ensure!(era == Some(harness.site.store.era()), "{era:?}");
         Ok(())
     })
 }
@@ -513,18 +514,18 @@
 #[test]
 fn nothing_is_reported_missing_while_the_store_is_behind() -> Result {
     run(async |executor| {
-        let (_server, house) = start_with_one_server(executor).await?;
-        let copy = house.site.store.copy();
-        house.site.declare(&[route("/a/")]);
-        served(&house, "/a/").await?;
-        restore_after_outage(&house.site, &copy).await;
+        let (_server, harness) = start_with_one_server(executor).await?;
+        let copy = harness.site.store.copy();
+        harness.site.declare(&[route("/a/")]);
+        served(&harness, "/a/").await?;
+        restore_after_outage(&harness.site, &copy).await;
         // By then the last confirmation is too old.
         Timer::after(APPLY_TIME + ms(200)).await;
-        served(&house, "/a/").await?;
-        ensure_not_executed(&house.post("/b/x", "unknown").await?)?;
-        house.site.declare(&[route("/c/")]);
+        served(&harness, "/a/").await?;
+        ensure_not_executed(&harness.post("/b/x", "unknown").await?)?;
+        harness.site.declare(&[route("/c/")]);
         wait_until("refused", async || {
-            Ok(house.post("/b/x", "unknown").await?.status == 404)
+            Ok(harness.post("/b/x", "unknown").await?.status == 404)
         })
         .await
     })
@@ -541,7 +542,7 @@
         let mut reader = Process::start(values.clone(), peer)?;
         wait_until("serving", async || Ok(reader.serves().await)).await?;
         let test_boxes = box_harness::start_boxes(&executor, &site, 2).await?;
-        box_harness::settled(&test_boxes, &[]).await?;
+        box_harness::wait_for_readers(&test_boxes, &[]).await?;
         let copy = site.store.copy();
         site.account("tenant-2", &["new"], 1);
         let newest = config(&site)?;
@@ -562,7 +563,7 @@
             Timer::after(ms(30)).await;
         }
         site.store.put_config(&newest);
-        ready(&test_boxes).await?;
-        box_harness::served(&test_boxes, &[&server], ms(500)).await
+        wait_until_ready(&test_boxes).await?;
+        box_harness::ensure_served(&test_boxes, &[&server], ms(500)).await
     })
 }
--- a/crates/relay/tests/relay/impostors.rs
+++ b/crates/relay/tests/relay/faulty_readers.rs
@@ -21,8 +21,8 @@
 use tidepier_relay_standin::site::{Route, Site};
 
 use crate::box_harness::{
-    address, readers, register, served, settled, site_with_keys, start_boxes, started, TestBox,
-    PROOF_TIME,
+    address, boxes_reading_store, ensure_served, register, site_with_keys, start_boxes,
+    start_boxes_with_reader, wait_for_readers, TestBox, PROOF_TIME,
 };
 use crate::harness::{self, ms, run, server_settings, wait_until, Executor, Result, SERVICE};
 
@@ -95,13 +95,13 @@
         age_ms: Some(0),
         known_ms: Some(0),
         revision,
-        standing: None,
+        status: None,
         document_bytes: None,
         emptied: Some(List::default()),
         rollouts: None,
         servers: Servers::Changes(Vec::new()),
         position: Position {
-            life: 7,
+            incarnation: 7,
             changes: 0,
         },
         held_ms: 0,
@@ -118,8 +118,8 @@
     let server = site.server(server_settings(1))?;
     let _reader = start_faulty_reader(&executor, &site, answer)?;
     let boxes = start_boxes(&executor, &site, 2).await?;
-    served(&boxes, &[&server], ms(1_500)).await?;
-    let found = readers(&boxes, PROOF_TIME).await;
+    ensure_served(&boxes, &[&server], ms(1_500)).await?;
+    let found = boxes_reading_store(&boxes, PROOF_TIME).await;
     ensure!(found.contains(&0), "read by {found:?}");
     Ok(())
 }
@@ -192,7 +192,7 @@
         };
         let _reader = start_faulty_reader(&executor, &site, outdated)?;
         let boxes = start_boxes(&executor, &site, 2).await?;
-        settled(&boxes, &[]).await?;
+        wait_for_readers(&boxes, &[]).await?;
         stale.set(true);
         let start = Instant::now();
         while start.elapsed() < ms(3_000) {
@@ -200,7 +200,7 @@
                 let now = test_box.router.relay().view.version().0;
                 ensure!(now == version, "{now} after {version}");
             }
-            served(&boxes, &[&server], ms(1)).await?;
+            ensure_served(&boxes, &[&server], ms(1)).await?;
         }
         Ok(())
     })
@@ -227,10 +227,10 @@
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
-        let boxes = started(&executor, &site, 2).await?;
+        let boxes = start_boxes_with_reader(&executor, &site, 2).await?;
         let peer = boxes[0].peer;
         let open = || Conn::open(peer, ms(500), UNACKED_TIMEOUT);
-        let before = boxes[1].store.asked();
+        let before = boxes[1].store.request_bytes();
         let huge = u32::MAX.to_be_bytes().to_vec();
         for bytes in [
             huge,
@@ -240,7 +240,7 @@
         ] {
             let mut conn = open().await?;
             conn.writer().write_all(&bytes).await?;
-            closed(&mut conn).await?;
+            wait_until_closed(&mut conn).await?;
         }
         let request = Request {
             version: VERSION,
@@ -259,7 +259,7 @@
             }),
         )
         .await?;
-        closed(&mut other).await?;
+        wait_until_closed(&mut other).await?;
         // Half a message, and many connections that send nothing.
         let half = open().await?;
         half.writer().write_all(&[0, 0, 1]).await?;
@@ -280,14 +280,17 @@
         ensure!(answer.age_ms.is_some() && count > 0, "{answer:?}");
         let document = link::receive_bytes(&mut right, count as usize).await?;
         ensure!(document.len() == count as usize, "a cut document");
-        served(&boxes, &[&server], ms(800)).await?;
-        ensure!(boxes[1].store.asked() == before, "the reader was left");
+        ensure_served(&boxes, &[&server], ms(800)).await?;
+        ensure!(
+            boxes[1].store.request_bytes() == before,
+            "the reader was left"
+        );
         Ok(())
     })
 }
 
 /// Waits until the other side closes the connection without sending anything.
-pub(crate) async fn closed(conn: &mut Conn) -> Result {
+pub(crate) async fn wait_until_closed(conn: &mut Conn) -> Result {
     let late = async {
         Timer::after(ms(1_000)).await;
         Err(std::io::ErrorKind::TimedOut.into())
@@ -342,7 +345,7 @@
         };
         let _reader = start_faulty_reader(&executor, &site, slow)?;
         let test_box = TestBox::start(&executor, &site, "box-0", "hall-1", 5_000).await?;
-        settled(std::slice::from_ref(&test_box), &[]).await?;
+        wait_for_readers(std::slice::from_ref(&test_box), &[]).await?;
         ensure!(harness::knows(&test_box.router, &server), "not known");
         removed.set(true);
         let start = Instant::now();
--- a/crates/relay/tests/relay/incarnations.rs
+++ b/crates/relay/tests/relay/incarnations.rs
@@ -15,7 +15,7 @@
 use tidepier_relay::message::VERSION;
 use tidepier_relay_standin::server::Fault;
 
-use crate::box_harness::started;
+use crate::box_harness::start_boxes_with_reader;
 use crate::choice_harness::{prompt, server, ChoiceHarness, LARGE};
 use crate::harness::{
     count_runs, ensure_served_by, ms, post, run, server_settings, site, start_with_two_servers,
@@ -43,7 +43,7 @@
     let old = harness.send(&prompt)?;
     let id = old.server.id.clone();
     ensure!(
-        harness.places(&prompt).missing_tokens(old.key).tokens() == 0.0,
+        harness.locations(&prompt).missing_tokens(old.key).tokens() == 0.0,
         "not recorded as cached"
     );
     old.record(Outcome::Unresponsive, now);
@@ -69,7 +69,7 @@
         "the old incarnation accepts requests"
     );
     ensure!(new.cold_left(now) == Duration::from_secs(3), "warm");
-    let lacks = harness.places(&prompt).missing_tokens(new.key);
+    let lacks = harness.locations(&prompt).missing_tokens(new.key);
     ensure!(
         lacks.unconfirmed == LARGE,
         "still taken to have it cached: {lacks:?}"
@@ -132,7 +132,7 @@
         age_ms: Some(0),
         known_ms: Some(0),
         revision: 0,
-        standing: None,
+        status: None,
         document_bytes: None,
         emptied: Some(List::default()),
         rollouts: None,
@@ -219,14 +219,14 @@
     run(async |executor| {
         let site = site()?;
         let server = site.server(server_settings(1))?;
-        let machines = started(&executor, &site, 2).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 2).await?;
         let id = server.settings().id.parse()?;
         site.announce_with(&server, server.address(), State::Ready, |entry| {
             entry["born"] = 1_760_000_000_000_u64.into();
             entry["cold_remaining_ms"] = 60_000.into();
         });
-        for machine in &machines {
-            let fleet = &machine.router.relay().fleet;
+        for test_box in &test_boxes {
+            let fleet = &test_box.router.relay().fleet;
             wait_until("told", async || {
                 let known = fleet.get(&id);
                 Ok(known.is_some_and(|it| it.cold_left(Instant::now()) > ms(55_000)))
@@ -236,8 +236,8 @@
         site.announce_with(&server, server.address(), State::Ready, |entry| {
             entry["born"] = 1_760_000_000_777_u64.into();
         });
-        for machine in &machines {
-            let fleet = &machine.router.relay().fleet;
+        for test_box in &test_boxes {
+            let fleet = &test_box.router.relay().fleet;
             wait_until("restarted", async || {
                 let known = fleet.get(&id).ok_or_else(|| eyre!("gone"))?;
                 let warm = known.cold_left(Instant::now()).is_zero();
@@ -245,9 +245,9 @@
             })
             .await?;
             ensure_served_by(
-                &machine.call(&post("/r/x", &machine.name)).await?,
+                &test_box.call(&post("/r/x", &test_box.name)).await?,
                 &[&server],
-                &machine.name,
+                &test_box.name,
             )?;
         }
         Ok(())
--- a/crates/relay/tests/relay/index.rs
+++ b/crates/relay/tests/relay/index.rs
@@ -141,19 +141,19 @@
     let server = key(1)?;
     let row = |part| Placement { part, server };
     let all = |_: Option<&Peer>| true;
-    let Batch { rows, place, .. } = log.since(Position::default(), 10, all);
+    let Batch { rows, position, .. } = log.since(Position::default(), 10, all);
     ensure!(rows.is_empty(), "{rows:?}");
     log.push(row(1), None);
     log.push(row(2), Some(Peer::Member(4)));
-    let batch = log.since(place, 10, all);
+    let batch = log.since(position, 10, all);
     ensure!(batch.rows == [row(1), row(2)], "{batch:?}");
     ensure!(batch.omitted == 0, "{batch:?}");
-    let next = batch.place;
+    let next = batch.position;
     let rows = log.since(next, 10, all).rows;
     ensure!(rows.is_empty(), "returned twice: {rows:?}");
     // A member does not get its own rows back.
     let not_its_own = |from: Option<&Peer>| from != Some(&Peer::Member(4));
-    let rows = log.since(place, 10, not_its_own).rows;
+    let rows = log.since(position, 10, not_its_own).rows;
     ensure!(rows == [row(1)], "{rows:?}");
     // If there are too many rows, the newest ones are returned.
     for part in 3..3 + 2 * ROWS {
@@ -163,7 +163,7 @@
     let last = 2 + 2 * ROWS;
     ensure!(batch.rows == [row(last - 1), row(last)], "{batch:?}");
     ensure!(u64::from(batch.omitted) == 2 * ROWS - 2, "{batch:?}");
-    let end = batch.place;
+    let end = batch.position;
     ensure!(log.since(end, 2, all).rows.is_empty(), "reported twice");
     // A position in the log of another process counts as the beginning.
     let other = Log::default();
--- a/crates/relay/tests/relay/invalid_entries.rs
+++ b/crates/relay/tests/relay/invalid_entries.rs
@@ -5,7 +5,7 @@
 use tidepier_core::server::State;
 use tidepier_relay_standin::names;
 
-use crate::box_harness::{ready, started, TestBox};
+use crate::box_harness::{start_boxes_with_reader, wait_until_ready, TestBox};
 use crate::harness::{
     ensure_served_by, post, run, server_settings, site, wait_until, Result, SERVICE,
 };
@@ -101,7 +101,7 @@
             put(at);
         });
         site.store.put(&key("No Id"), &entry(200));
-        let test_boxes = started(&executor, &site, 2).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 2).await?;
         (1..invalid.len()).step_by(2).for_each(|at| {
             put(at);
         });
@@ -120,7 +120,7 @@
             wait_until("followed", async || Ok(test_box.knows(&second))).await?;
             ensure!(serving(test_box)? == 4, "{} servers", serving(test_box)?);
         }
-        ready(&test_boxes).await
+        wait_until_ready(&test_boxes).await
     })
 }
 
@@ -131,7 +131,7 @@
         let site = site()?;
         let server = site.server(server_settings(1))?;
         let other = site.server(server_settings(2))?;
-        let test_boxes = started(&executor, &site, 2).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 2).await?;
         for bytes in [&b"\xff"[..], b"{}", br#"{"state":"ready"}"#] {
             site.store.put_bytes(&key("i-1"), bytes.to_vec());
             for test_box in &test_boxes {
--- a/crates/relay/tests/relay/keys.rs
+++ b/crates/relay/tests/relay/keys.rs
@@ -34,7 +34,7 @@
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
-        let house = open(executor, site, true).await?;
+        let harness = open(executor, site, true).await?;
         let other_host = post("/r/x", "host").with("Host", "other.example");
         for (call, status) in [
             (post("/nowhere/x", "path"), 404),
@@ -44,11 +44,11 @@
             (post("/k/x", "none"), 401),
             (with_key("Stays", "case"), 401),
         ] {
-            let answer = house.call(&call).await?;
+            let answer = harness.call(&call).await?;
             ensure!(answer.status == status, "{call:?}: {answer:?}");
         }
         ensure!(server.runs().is_empty(), "a refused request was sent");
-        let answer = house.call(&with_key("stays", "known")).await?;
+        let answer = harness.call(&with_key("stays", "known")).await?;
         ensure_served_by(&answer, &[&server], "known")
     })
 }
@@ -58,22 +58,22 @@
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
-        let house = open(executor, site, false).await?;
-        house
+        let harness = open(executor, site, false).await?;
+        harness
             .site
             .store
             .faults(|faults| faults.down = Some(Down::Reset));
         Timer::after(APPLY_TIME + ms(100)).await;
         for call in [post("/nowhere/x", "path"), with_key("unknown", "key")] {
-            ensure_not_executed(&house.call(&call).await?)?;
+            ensure_not_executed(&harness.call(&call).await?)?;
         }
         // Known routes and keys are still served.
-        ensure_served_by(&house.post("/r/x", "known").await?, &[&server], "known")?;
-        let answer = house.call(&with_key("stays", "key-known")).await?;
+        ensure_served_by(&harness.post("/r/x", "known").await?, &[&server], "known")?;
+        let answer = harness.call(&with_key("stays", "key-known")).await?;
         ensure_served_by(&answer, &[&server], "key-known")?;
-        house.site.store.faults(|faults| faults.down = None);
+        harness.site.store.faults(|faults| faults.down = None);
         harness::wait_until("refused again", async || {
-            Ok(house.post("/nowhere/x", "again").await?.status == 404)
+            Ok(harness.post("/nowhere/x", "again").await?.status == 404)
         })
         .await
     })
@@ -84,16 +84,16 @@
 async fn revoked(executor: Executor, harm: impl FnOnce(&Site), seen: bool) -> Result {
     let site = site_with_keys()?;
     let server = site.server(server_settings(1))?;
-    let house = open(executor, site, true).await?;
-    harm(&house.site);
+    let harness = open(executor, site, true).await?;
+    harm(&harness.site);
     let gone = Instant::now();
-    house.site.account("tenant-2", &["new"], 1);
+    harness.site.account("tenant-2", &["new"], 1);
     let mut number = 0;
     while gone.elapsed() < REVOKE_TIME + ms(500) {
         number += 1;
         let attempt = format!("goes-{number}");
         let asked = Instant::now();
-        let answer = house.call(&with_key("goes", &attempt)).await?;
+        let answer = harness.call(&with_key("goes", &attempt)).await?;
         if asked > gone + REVOKE_TIME {
             ensure!(matches!(answer.status, 401 | 503), "{answer:?}");
             ensure!(server.ran(&attempt) == 0, "{attempt} ran");
@@ -103,22 +103,22 @@
         }
         // Public routes need no key and are served throughout.
         let attempt = format!("public-{number}");
-        ensure_served_by(&house.post("/r/x", &attempt).await?, &[&server], &attempt)?;
+        ensure_served_by(&harness.post("/r/x", &attempt).await?, &[&server], &attempt)?;
         Timer::after(ms(40)).await;
     }
     if !seen {
-        ensure!(!house.is_ready().await, "ready without trusted keys");
+        ensure!(!harness.is_ready().await, "ready without trusted keys");
     }
-    house.site.store.faults(|faults| faults.down = None);
-    house.site.store.faults(|faults| faults.refuse = false);
+    harness.site.store.faults(|faults| faults.down = None);
+    harness.site.store.faults(|faults| faults.refuse = false);
     harness::wait_until("back", async || {
-        let answer = house.call(&with_key("new", "back")).await?;
+        let answer = harness.call(&with_key("new", "back")).await?;
         Ok(answer.status == 200)
     })
     .await?;
-    let answer = house.call(&with_key("goes", "after")).await?;
+    let answer = harness.call(&with_key("goes", "after")).await?;
     ensure!(answer.status == 401, "{answer:?}");
-    harness::wait_until("ready", async || Ok(house.is_ready().await)).await
+    harness::wait_until("ready", async || Ok(harness.is_ready().await)).await
 }
 
 #[test]
@@ -180,13 +180,13 @@
     run(async |executor| {
         let site = site_with_keys()?;
         let _server = site.server(server_settings(1))?;
-        let house = open(executor, site, true).await?;
-        let answer = house.call(&with_key("goes", "before")).await?;
+        let harness = open(executor, site, true).await?;
+        let answer = harness.call(&with_key("goes", "before")).await?;
         ensure!(answer.status == 200, "{answer:?}");
         let gone = Instant::now();
-        house.site.account("tenant-2", &[], 1);
+        harness.site.account("tenant-2", &[], 1);
         harness::wait_until("refused", async || {
-            let answer = house.call(&with_key("goes", "after")).await?;
+            let answer = harness.call(&with_key("goes", "after")).await?;
             ensure!(answer.status == 200 || answer.status == 401, "{answer:?}");
             Ok(answer.status == 401)
         })
@@ -201,14 +201,14 @@
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
-        let house = open(executor, site, true).await?;
-        house.site.store.faults(|faults| faults.lost = u32::MAX);
+        let harness = open(executor, site, true).await?;
+        harness.site.store.faults(|faults| faults.lost = u32::MAX);
         let start = Instant::now();
         let mut number = 0;
         while start.elapsed() < 2 * REVOKE_TIME {
             number += 1;
             let attempt = format!("stays-{number}");
-            let answer = house.call(&with_key("stays", &attempt)).await?;
+            let answer = harness.call(&with_key("stays", &attempt)).await?;
             ensure_served_by(&answer, &[&server], &attempt)?;
             Timer::after(ms(50)).await;
         }
--- a/crates/relay/tests/relay/leaving.rs
+++ b/crates/relay/tests/relay/leaving.rs
@@ -337,10 +337,10 @@
     let now = tidepier_clock::Instant::now();
     let permit = harness.fleet.permit(&server, now);
     let permit = permit.map_err(|why| eyre!("{why}"))?;
-    ensure!(permit.renewed(now).is_ok(), "ineligible from the start");
+    ensure!(permit.recheck(now).is_ok(), "ineligible from the start");
     harness.drain(&id("i-1")?)?;
     ensure!(
-        permit.renewed(now) == Err(Ineligible::Leaving),
+        permit.recheck(now) == Err(Ineligible::Leaving),
         "still eligible"
     );
     ensure!(
--- a/crates/relay/tests/relay/load.rs
+++ b/crates/relay/tests/relay/load.rs
@@ -151,7 +151,7 @@
         ] {
             boxes.push(TestBox::start(&executor, &site, name, hall, 1_000).await?);
         }
-        box_harness::ready(&boxes).await?;
+        box_harness::wait_until_ready(&boxes).await?;
         let start = Instant::now();
         let answers = sent(&executor, &boxes, hot).await?;
         let known: Vec<&Server> = engines.iter().collect();
@@ -200,7 +200,7 @@
         let site = engines_site()?;
         let engines = [site.server(engine(1))?, site.server(engine(2))?];
         let test_box = TestBox::start(&executor, &site, "box-0", "hall-1", 1_000).await?;
-        box_harness::ready(std::slice::from_ref(&test_box)).await?;
+        box_harness::wait_until_ready(std::slice::from_ref(&test_box)).await?;
         for (number, engine) in engines.iter().enumerate() {
             // Two requests at once and one after them, without the router.
             let front = engine.address();
--- a/crates/relay/tests/relay/locations.rs
+++ b/crates/relay/tests/relay/locations.rs
@@ -210,7 +210,7 @@
         );
         // A holder that is only expected does not make the new server cheaper.
         let missing = harness
-            .places(&prompt)
+            .locations(&prompt)
             .missing_tokens(Key::new(&new_server));
         ensure!(missing.copied == 0.0, "{missing:?}");
     }
@@ -238,7 +238,7 @@
             .record_local(&known, Key::new(&holder), Instant::now());
     }
     let ids = harness.fleet.ids();
-    let locations = harness.places(&unknown);
+    let locations = harness.locations(&unknown);
     let unranked = ids.iter().find(|id| locations.rank(Key::new(id)).is_none());
     let unranked = unranked.ok_or_else(|| eyre!("all have a rank"))?;
     let missing = locations.missing_tokens(Key::new(unranked));
@@ -276,11 +276,11 @@
     let ids = harness.fleet.ids();
     let unranked = ids
         .iter()
-        .find(|id| harness.places(&prompt).rank(Key::new(id)).is_none());
+        .find(|id| harness.locations(&prompt).rank(Key::new(id)).is_none());
     let unranked = unranked.ok_or_else(|| eyre!("all have a rank"))?;
     let lacks = |id: &ids::Server| {
         harness
-            .places(&prompt)
+            .locations(&prompt)
             .missing_tokens(Key::new(id))
             .tokens()
     };
@@ -323,7 +323,7 @@
         }
         ensure!(harness.first(&prompt)? == next, "{failing} is still first");
         let missing = harness
-            .places(&prompt)
+            .locations(&prompt)
             .missing_tokens(Key::new(&failing))
             .tokens();
         ensure!(
@@ -372,7 +372,7 @@
     let prompt = prompt(5, LARGE);
     let tried = [harness.first(&prompt)?, harness.ranked(&prompt, 1)?];
     let third = harness.ranked(&prompt, 2)?;
-    let locations = harness.places_after(&prompt, &tried);
+    let locations = harness.locations_after(&prompt, &tried);
     let rank = |id: &ids::Server| locations.rank(Key::new(id));
     ensure!(rank(&third) == Some(0), "{:?}", rank(&third));
     ensure!(rank(&tried[0]).is_none(), "tried again");
--- a/crates/relay/tests/relay/losses.rs
+++ b/crates/relay/tests/relay/losses.rs
@@ -24,7 +24,7 @@
         rate: 450.0,
         hot: 0.1,
         time: EXPIRY_TIME,
-        patience: Duration::ZERO,
+        max_wait: Duration::ZERO,
         cold: Cold {
             time: Duration::ZERO,
             per_s: 1_000.0,
--- a/crates/relay/tests/relay/peer_answers.rs
+++ b/crates/relay/tests/relay/peer_answers.rs
@@ -105,13 +105,13 @@
         age_ms: Some(age_ms),
         known_ms: Some(age_ms),
         revision,
-        standing: None,
+        status: None,
         document_bytes: None,
         emptied: Some(List::default()),
         rollouts: None,
         servers,
         position: Position {
-            life: 3,
+            incarnation: 3,
             changes: 0,
         },
         held_ms: 0,
@@ -288,7 +288,7 @@
         known(&relay, "i-1")? && known(&relay, "i-2")?,
         "not applied"
     );
-    let (_, place) = follower.record().since(Position::default());
+    let (_, place) = follower.history().since(Position::default());
     let drains = row_of("i-2", 6, State::Draining)?;
     let gone = Change::Removed("i-1".parse()?, Revision::of(7));
     let changes = vec![
@@ -309,7 +309,7 @@
         known(&relay, "i-2")? && !known(&relay, "i-1")?,
         "wrong servers are known"
     );
-    let (since, _) = follower.record().since(place);
+    let (since, _) = follower.history().since(place);
     ensure!(since == Servers::Changes(changes), "{since:?}");
     Ok(())
 }
@@ -356,7 +356,7 @@
     let service = SERVICE.parse()?;
     ensure!(relay.fleet.serving(&service).is_empty(), "serves again");
     // Nor is the older information passed on to other boxes.
-    let (all, _) = follower.record().since(Position::default());
+    let (all, _) = follower.history().since(Position::default());
     let expected = vec![row_of("i-1", 7, State::Draining)?];
     ensure!(
         matches!(&all, Servers::All(rows, _) if *rows == expected),
@@ -459,11 +459,11 @@
         "sent again"
     );
     ensure!(
-        follower.record().newest_revision() == Revision::of(8),
+        follower.history().newest_revision() == Revision::of(8),
         "revision not observed"
     );
     ensure!(
-        follower.record().is_outdated(&entry(7, 0)?),
+        follower.history().is_outdated(&entry(7, 0)?),
         "the older entry is applied"
     );
     // It becomes cold again; other boxes are sent the remaining time.
@@ -491,7 +491,7 @@
 }
 
 /// The state of the store that an answer is based on.
-fn standing(era: u64, first: u64, in_force: u64) -> Status {
+fn status(era: u64, first: u64, in_force: u64) -> Status {
     Status {
         era,
         first,
@@ -509,7 +509,7 @@
 fn an_answer_of_a_stale_era_is_not_applied() -> Result {
     let (relay, follower) = follower()?;
     let of_era = |era, first, version, servers| Answer {
-        standing: Some(standing(era, first, version)),
+        status: Some(status(era, first, version)),
         ..confirmed_answer(0, first, servers)
     };
     let asked = Instant::now();
@@ -576,14 +576,14 @@
     let (relay, follower) = follower()?;
     let asked = Instant::now();
     let answer = Answer {
-        standing: Some(standing(1, 40, 7)),
+        status: Some(status(1, 40, 7)),
         ..confirmed_answer(0, 40, nothing())
     };
     deliver(&follower, answer, Some(document(7)), asked)?;
     let less = Answer {
-        standing: Some(Status {
+        status: Some(Status {
             settled: false,
-            ..standing(2, 30, 5)
+            ..status(2, 30, 5)
         }),
         known_ms: None,
         ..confirmed_answer(0, 30, nothing())
@@ -596,7 +596,7 @@
         "confirmed by a box that knows less"
     );
     ensure!(
-        !relay.standing.is_settled(),
+        !relay.era_state.is_settled(),
         "settled by a box that knows less"
     );
     // The other box is sent what it lacks.
--- a/crates/relay/tests/relay/peers.rs
+++ b/crates/relay/tests/relay/peers.rs
@@ -13,8 +13,9 @@
 use tidepier_relay_standin::store::Down;
 
 use crate::box_harness::{
-    self, address, readers, ready, register, served, settled, site_with_keys, start_boxes, started,
-    with_key, Process, Proxy, TestBox, APPLY_TIME, BOXES, LEAVE_TIME, PROOF_TIME, REVOKE_TIME,
+    self, address, boxes_reading_store, ensure_served, register, site_with_keys, start_boxes,
+    start_boxes_with_reader, wait_for_readers, wait_until_ready, with_key, Process, Proxy, TestBox,
+    APPLY_TIME, BOXES, LEAVE_TIME, PROOF_TIME, REVOKE_TIME,
 };
 use crate::harness::{
     ensure_not_executed, ensure_served_by, ms, post, run, server_settings, wait_until, Executor,
@@ -43,10 +44,10 @@
         ] {
             boxes.push(TestBox::start(&executor, &site, name, hall, link).await?);
         }
-        ready(&boxes).await?;
-        settled(&boxes, &[3, 4]).await?;
+        wait_until_ready(&boxes).await?;
+        wait_for_readers(&boxes, &[3, 4]).await?;
         let before = site.store.all_calls();
-        let found = readers(&boxes, TWO_FRESHNESS_CHECKS).await;
+        let found = boxes_reading_store(&boxes, TWO_FRESHNESS_CHECKS).await;
         ensure!(found == [3, 4], "read by {found:?}");
         for (name, count) in site.store.all_calls() {
             let made = count - before.get(&name).copied().unwrap_or(0);
@@ -54,7 +55,7 @@
             let most = if name == "kv-txn" { 6 } else { 0 };
             ensure!(made <= most, "{made} calls of {name}");
         }
-        served(&boxes, &[&server], ms(200)).await
+        ensure_served(&boxes, &[&server], ms(200)).await
     })
 }
 
@@ -64,7 +65,7 @@
         let site = site_with_keys()?;
         let stays = site.server(server_settings(1))?;
         let leaves = site.server(server_settings(2))?;
-        let boxes = started(&executor, &site, 4).await?;
+        let boxes = start_boxes_with_reader(&executor, &site, 4).await?;
         let since = Instant::now();
         site.declare(&[Route::new("/new/", Kind::Repeatable, SERVICE)]);
         site.announce(&leaves, State::Draining);
@@ -82,7 +83,7 @@
         site.drop_route("/new/");
         site.withdraw(&leaves);
         let joins = site.server(server_settings(3))?;
-        served(&boxes, &[&stays, &joins], ms(300)).await?;
+        ensure_served(&boxes, &[&stays, &joins], ms(300)).await?;
         for test_box in &boxes {
             wait_until("dropped", async || {
                 let status = test_box.call(&post("/new/x", "probe")).await?.status;
@@ -92,7 +93,7 @@
         }
         ensure!(since.elapsed() < APPLY_TIME, "{:?}", since.elapsed());
         ensure!(leaves.runs().len() == before, "asked after it left");
-        settled(&boxes, &[0]).await
+        wait_for_readers(&boxes, &[0]).await
     })
 }
 
@@ -104,15 +105,15 @@
 ) -> Result<Vec<TestBox>> {
     let site = site_with_keys()?;
     let server = site.server(server_settings(1))?;
-    let boxes = started(&executor, &site, 3).await?;
+    let boxes = start_boxes_with_reader(&executor, &site, 3).await?;
     break_reader(&boxes[0]);
     let others = &boxes[1..];
-    served(others, &[&server], REVOKE_TIME).await?;
+    ensure_served(others, &[&server], REVOKE_TIME).await?;
     let serving = async {
-        served(others, &[&server], ms(15_000)).await?;
+        ensure_served(others, &[&server], ms(15_000)).await?;
         Err(eyre!("more than one reader"))
     };
-    settled(others, &[0]).or(serving).await?;
+    wait_for_readers(others, &[0]).or(serving).await?;
     Ok(boxes)
 }
 
@@ -129,11 +130,11 @@
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
-        let boxes = started(&executor, &site, 2).await?;
+        let boxes = start_boxes_with_reader(&executor, &site, 2).await?;
         let (reader, others) = (&boxes[0], &boxes[1..]);
         reader.freeze(true);
         site.account("tenant-2", &["new"], 1);
-        served(others, &[&server], REVOKE_TIME).await?;
+        ensure_served(others, &[&server], REVOKE_TIME).await?;
         reader.freeze(false);
         let thawed = Instant::now();
         while thawed.elapsed() < ms(700) {
@@ -143,10 +144,10 @@
                 ensure!(matches!(answer.status, 401 | 503), "{attempt}: {answer:?}");
                 ensure!(server.ran(&attempt) == 0, "{attempt} ran");
             }
-            served(others, &[&server], ms(1)).await?;
+            ensure_served(others, &[&server], ms(1)).await?;
         }
-        ready(&boxes).await?;
-        served(&boxes, &[&server], ms(100)).await
+        wait_until_ready(&boxes).await?;
+        ensure_served(&boxes, &[&server], ms(100)).await
     })
 }
 
@@ -161,7 +162,7 @@
 #[test]
 fn a_reader_whose_store_is_unresponsive_is_replaced() -> Result {
     run(async |executor| {
-        check_replaced(executor, |reader| reader.store.silence()).await?;
+        check_replaced(executor, |reader| reader.store.make_unresponsive()).await?;
         Ok(())
     })
 }
@@ -176,10 +177,10 @@
         let mut reader = Process::start(settings.clone(), peer)?;
         wait_until("serving", async || Ok(reader.serves().await)).await?;
         let boxes = start_boxes(&executor, &site, 2).await?;
-        settled(&boxes, &[]).await?;
+        wait_for_readers(&boxes, &[]).await?;
         reader.kill()?;
-        served(&boxes, &[&server], REVOKE_TIME).await?;
-        settled(&boxes, &[0]).await?;
+        ensure_served(&boxes, &[&server], REVOKE_TIME).await?;
+        wait_for_readers(&boxes, &[0]).await?;
         let (leases, revision) = (site.store.calls("kv-lease"), site.store.revision());
         // The restarted box finds its registration and writes nothing.
         let _reader = Process::start(settings, peer)?;
@@ -187,9 +188,15 @@
         let mut quiet = false;
         while !quiet {
             ensure!(since.elapsed() < ms(5_000), "the reader is not believed");
-            let asked: u64 = boxes.iter().map(|test_box| test_box.store.asked()).sum();
-            served(&boxes, &[&server], PROOF_TIME).await?;
-            let now: u64 = boxes.iter().map(|test_box| test_box.store.asked()).sum();
+            let asked: u64 = boxes
+                .iter()
+                .map(|test_box| test_box.store.request_bytes())
+                .sum();
+            ensure_served(&boxes, &[&server], PROOF_TIME).await?;
+            let now: u64 = boxes
+                .iter()
+                .map(|test_box| test_box.store.request_bytes())
+                .sum();
             quiet = asked == now;
         }
         ensure!(site.store.calls("kv-lease") == leases, "registered again");
@@ -208,7 +215,7 @@
             let (name, link) = (format!("box-{number}"), 5_000 - number * 100);
             boxes.push(TestBox::start(&executor, &site, &name, "hall-1", link).await?);
         }
-        settled(&boxes, &[0]).await?;
+        wait_for_readers(&boxes, &[0]).await?;
         ensure!(site.store.keys(BOXES).len() == 5, "not all are registered");
         for test_box in &boxes {
             ensure!(!test_box.is_ready(), "ready without a configuration");
@@ -216,7 +223,7 @@
         }
         let since = Instant::now();
         site.declare(&[Route::new("/r/", Kind::Repeatable, SERVICE)]);
-        ready(&boxes).await?;
+        wait_until_ready(&boxes).await?;
         ensure!(since.elapsed() < APPLY_TIME, "{:?}", since.elapsed());
         for test_box in &boxes {
             let answer = test_box.call(&post("/r/x", &test_box.name)).await?;
@@ -237,7 +244,7 @@
     register(site, "box-8", "hall-1", link.address())?;
     wait_until("ready", async || Ok(reader.is_ready())).await?;
     let boxes = start_boxes(executor, site, 2).await?;
-    settled(&boxes, &[]).await?;
+    wait_for_readers(&boxes, &[]).await?;
     Ok((reader, link, boxes))
 }
 
@@ -247,20 +254,20 @@
     let server = site.server(server_settings(1))?;
     let (reader, link, boxes) = over_a_delayed_link(&executor, &site).await?;
     link.delay(delay);
-    served(&boxes, &[&server], ms(500)).await?;
+    ensure_served(&boxes, &[&server], ms(500)).await?;
     let faults = |down| site.store.faults(|faults| faults.down = down);
     faults(Some(Down::Silent));
     let lost = Instant::now();
     site.account("tenant-2", &["new"], 1);
     while lost.elapsed() < REVOKE_TIME + ms(300) {
         for test_box in boxes.iter().chain([&reader]) {
-            let proven = test_box.proven();
-            let proven = proven.ok_or_else(|| eyre!("{}: no proof", test_box.name))?;
+            let confirmed_at = test_box.confirmed_at();
+            let confirmed_at = confirmed_at.ok_or_else(|| eyre!("{}: no proof", test_box.name))?;
             ensure!(
-                proven <= lost,
+                confirmed_at <= lost,
                 "{}: {:?} too young",
                 test_box.name,
-                proven - lost
+                confirmed_at - lost
             );
             let attempt = format!("{}-{:?}", test_box.name, lost.elapsed());
             let asked = Instant::now();
@@ -276,7 +283,7 @@
         ensure!(!test_box.is_ready(), "{} is ready", test_box.name);
     }
     faults(None);
-    ready(&boxes).await?;
+    wait_until_ready(&boxes).await?;
     for test_box in &boxes {
         let answer = test_box.call(&with_key("goes", "after")).await?;
         ensure!(answer.status == 401, "{answer:?}");
@@ -303,16 +310,16 @@
         for delay in [0, 120, 300] {
             link.delay(ms(delay));
             // A box that had to read the store has a freshness check of its own.
-            let asked = || boxes.iter().map(|test_box| test_box.store.asked());
+            let asked = || boxes.iter().map(|test_box| test_box.store.request_bytes());
             let before: Vec<u64> = asked().collect();
             let mut compared = 0;
             let start = Instant::now();
             while start.elapsed() < ms(800) {
-                let newest = reader.proven();
+                let newest = reader.confirmed_at();
                 for (test_box, before) in boxes.iter().zip(&before) {
-                    if test_box.store.asked() == *before {
-                        let proven = test_box.proven();
-                        ensure!(proven <= newest, "{} after {delay} ms", test_box.name);
+                    if test_box.store.request_bytes() == *before {
+                        let confirmed_at = test_box.confirmed_at();
+                        ensure!(confirmed_at <= newest, "{} after {delay} ms", test_box.name);
                         compared += 1;
                     }
                 }
@@ -322,7 +329,7 @@
         }
         // A delay beyond the time-outs of all answers but the first does no harm.
         link.delay(ms(700));
-        served(&boxes, &[&server], ms(3_500)).await
+        ensure_served(&boxes, &[&server], ms(3_500)).await
     })
 }
 
@@ -333,14 +340,14 @@
         let gone = site.server(server_settings(1))?;
         let stays = site.server(server_settings(2))?;
         let start = Instant::now();
-        let boxes = started(&executor, &site, 3).await?;
+        let boxes = start_boxes_with_reader(&executor, &site, 3).await?;
         // From now on a box that cannot confirm its data is skipped for 3 s.
         tidepier_clock::sleep_until(start + STARTUP_TIME).await;
         let (back, others) = (&boxes[0], &boxes[1..]);
         back.store.cut();
         let cut = Instant::now();
         // By then the others read the store themselves.
-        served(others, &[&gone, &stays], ms(1_800)).await?;
+        ensure_served(others, &[&gone, &stays], ms(1_800)).await?;
         site.withdraw(&gone);
         let left = Instant::now();
         wait_until("dropped", async || {
@@ -352,7 +359,7 @@
         // The others follow it again while it still keeps the server, whose entry is
         // missing.
         tidepier_clock::sleep_until(cut + ms(2_900)).await;
-        back.store.mend();
+        back.store.restore_link();
         ensure!(back.knows(&gone), "the one cut off dropped a server");
         let (mut asked, mut heard) = (Vec::new(), 0);
         while heard == 0 || cut.elapsed() < ms(6_600) {
@@ -363,8 +370,11 @@
             for test_box in others {
                 ensure!(!test_box.knows(&gone), "{} knows it again", test_box.name);
             }
-            served(others, &[&stays], ms(100)).await?;
-            let now: Vec<u64> = others.iter().map(|other| other.store.asked()).collect();
+            ensure_served(others, &[&stays], ms(100)).await?;
+            let now: Vec<u64> = others
+                .iter()
+                .map(|other| other.store.request_bytes())
+                .collect();
             asked.push(now);
             // No call to the store for longer than the interval of freshness checks.
             let then = asked.len().checked_sub(11);
--- a/crates/relay/tests/relay/port.rs
+++ b/crates/relay/tests/relay/port.rs
@@ -14,8 +14,8 @@
 use tidepier_relay_standin::Server;
 
 use crate::box_harness::{site_with_keys, start_boxes, TestBox};
+use crate::faulty_readers::wait_until_closed;
 use crate::harness::{ms, run, server_settings, wait_until, Executor, Result};
-use crate::impostors::closed;
 
 /// Time-out for unacknowledged data.
 const UNACKED_TIMEOUT: Duration = Duration::from_secs(30);
@@ -103,7 +103,7 @@
         let mut conn = Conn::open(boxes[0].peer, ms(500), UNACKED_TIMEOUT).await?;
         let length = u32::try_from(responder::REQUEST_BYTES_MAX + 1)?;
         conn.writer().write_all(&length.to_be_bytes()).await?;
-        closed(&mut conn).await
+        wait_until_closed(&mut conn).await
     })
 }
 
--- a/crates/relay/tests/relay/recalled.rs
+++ b/crates/relay/tests/relay/recalled.rs
@@ -136,7 +136,7 @@
         all_learned(&boxes).await?;
         let ineligible = boxes.iter().map(|it| {
             let now = tidepier_clock::Instant::now();
-            it.router.relay().fleet.withheld(now).0
+            it.router.relay().fleet.count_ineligible(now).0
         });
         let ineligible: usize = ineligible.sum();
         // The hub of each hall asks the engines of its own hall.
--- a/crates/relay/tests/relay/recover.rs
+++ b/crates/relay/tests/relay/recover.rs
@@ -9,7 +9,9 @@
 use tidepier_relay_standin::store::Down;
 use tidepier_relay_standin::{Client, Server};
 
-use crate::box_harness::{self, address, served, site_with_keys, with_key, Process, TestBox};
+use crate::box_harness::{
+    self, address, ensure_served, site_with_keys, with_key, Process, TestBox,
+};
 use crate::harness::{ensure_not_executed, ms, run, server_settings, wait_until, Executor, Result};
 
 /// The bound on the time from the restart of the boxes until they serve requests.
@@ -101,12 +103,12 @@
     Ok(())
 }
 
-async fn machines(executor: &Executor, site: &Site) -> Result<Vec<TestBox>> {
-    let mut machines = Vec::new();
+async fn start_test_boxes(executor: &Executor, site: &Site) -> Result<Vec<TestBox>> {
+    let mut test_boxes = Vec::new();
     for (name, hall, link) in BOXES {
-        machines.push(TestBox::start(executor, site, name, hall, link).await?);
+        test_boxes.push(TestBox::start(executor, site, name, hall, link).await?);
     }
-    Ok(machines)
+    Ok(test_boxes)
 }
 
 #[test]
@@ -114,15 +116,15 @@
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
-        let first = machines(&executor, &site).await?;
-        box_harness::ready(&first).await?;
-        served(&first, &[&server], ms(100)).await?;
+        let first = start_test_boxes(&executor, &site).await?;
+        box_harness::wait_until_ready(&first).await?;
+        ensure_served(&first, &[&server], ms(100)).await?;
         // Their entries stay in the store, but nothing listens at their addresses.
         drop(first);
-        let next = machines(&executor, &site).await?;
+        let next = start_test_boxes(&executor, &site).await?;
         let back = Instant::now();
-        box_harness::ready(&next).await?;
+        box_harness::wait_until_ready(&next).await?;
         ensure!(back.elapsed() < RECOVERY_TIME_MAX, "{:?}", back.elapsed());
-        served(&next, &[&server], ms(300)).await
+        ensure_served(&next, &[&server], ms(300)).await
     })
 }
--- a/crates/relay/tests/relay/registry.rs
+++ b/crates/relay/tests/relay/registry.rs
@@ -9,7 +9,9 @@
 use tidepier_platform::store;
 use tidepier_relay::peer::registry::{Member, Registry};
 
-use crate::box_harness::{self, address, served, site_with_keys, started, Process, BOXES};
+use crate::box_harness::{
+    self, address, ensure_served, site_with_keys, start_boxes_with_reader, Process, BOXES,
+};
 use crate::harness::{ms, run, server_settings, wait_until, Result};
 use crate::peer_answers::relay;
 
@@ -59,7 +61,7 @@
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
-        let boxes = started(&executor, &site, 2).await?;
+        let boxes = start_boxes_with_reader(&executor, &site, 2).await?;
         let keys = || site.store.keys(BOXES);
         let key = format!("{BOXES}hall-1/box-1");
         ensure!(keys().contains(&key), "{:?}", keys());
@@ -67,7 +69,7 @@
         let since = Instant::now();
         while !keys().contains(&key) {
             ensure!(since.elapsed() < CHECK_INTERVAL_MAX, "not registered again");
-            served(&boxes, &[&server], ms(300)).await?;
+            ensure_served(&boxes, &[&server], ms(300)).await?;
         }
         ensure!(keys().len() == 2, "{:?}", keys());
         Ok(())
--- a/crates/relay/tests/relay/requests.rs
+++ b/crates/relay/tests/relay/requests.rs
@@ -272,8 +272,8 @@
             let (fleet, index) = (&relay.fleet, &relay.traffic.index);
             let service = SERVICE.parse()?;
             let now = tidepier_clock::Instant::now();
-            let places = Locations::new(fleet, &service, &prompt, index, &|_| true, now);
-            Ok(places.missing_tokens(Key::new(&id)).tokens())
+            let locations = Locations::new(fleet, &service, &prompt, index, &|_| true, now);
+            Ok(locations.missing_tokens(Key::new(&id)).tokens())
         };
         let call = |attempt: &str| post("/r/x", attempt).with(names::PROMPT, &listed.join(","));
         server.crash();
--- a/crates/relay/tests/relay/restore_cost.rs
+++ b/crates/relay/tests/relay/restore_cost.rs
@@ -81,8 +81,8 @@
     let back = Instant::now();
     site.account("tenant-2", &["new"], 1);
     let recent = |test_box: &TestBox| {
-        let proven = test_box.proven();
-        proven.is_some_and(|at| at.elapsed() < back.elapsed())
+        let confirmed_at = test_box.confirmed_at();
+        confirmed_at.is_some_and(|at| at.elapsed() < back.elapsed())
     };
     wait_until("settled", async || Ok(test_boxes.iter().all(recent))).await?;
     let settled = back.elapsed();
