--- a/crates/relay/tests/relay/restored_entries.rs
+++ b/crates/relay/tests/relay/restored_entries.rs
@@ -17,7 +17,9 @@
 use tidepier_relay_standin::site::Site;
 use tidepier_relay_standin::store::{Copy, Down};
 
-use crate::box_harness::{self, ready, site_with_keys, started, TestBox, BOXES, REVOKE_TIME};
+use crate::box_harness::{
+    self, site_with_keys, start_boxes_with_reader, wait_until_ready, TestBox, BOXES, REVOKE_TIME,
+};
 use crate::eras::restore_after_outage;
 use crate::harness::{
     ensure_served_by, ms, run, server_settings, site, start_with_one_server,
@@ -30,20 +32,20 @@
 const SILENCE_TIME: Duration = Duration::from_millis(4_800);
 
 /// Sends requests for a while; each is answered by one of these servers.
-async fn served_by(house: &Harness, servers: &[&Server], time: Duration) -> Result {
+async fn served_by(harness: &Harness, servers: &[&Server], time: Duration) -> Result {
     let start = Instant::now();
     while start.elapsed() < time {
         for path in ["/r/x", "/s/x"] {
             let attempt = format!("{path}-{:?}", start.elapsed());
-            ensure_served_by(&house.post(path, &attempt).await?, servers, &attempt)?;
+            ensure_served_by(&harness.post(path, &attempt).await?, servers, &attempt)?;
         }
         Timer::after(ms(10)).await;
     }
     Ok(())
 }
 
-async fn removed(house: &Harness, server: &Server) -> Result {
-    wait_until("removed", async || Ok(!house.knows(server))).await
+async fn removed(harness: &Harness, server: &Server) -> Result {
+    wait_until("removed", async || Ok(!harness.knows(server))).await
 }
 
 /// Guards against requests to a server that left before the restore and has a backup
@@ -52,15 +54,15 @@
 fn a_removed_server_gets_no_requests_by_a_backup_entry() -> Result {
     for outage in [true, false] {
         run(async |executor| {
-            let (near, far, house) = start_with_two_servers(executor).await?;
-            let copy = house.site.store.copy();
-            house.site.withdraw(&far);
-            removed(&house, &far).await?;
+            let (near, far, harness) = start_with_two_servers(executor).await?;
+            let copy = harness.site.store.copy();
+            harness.site.withdraw(&far);
+            removed(&harness, &far).await?;
             let before = far.runs().len();
-            restore(&house.site, &copy, outage).await;
-            served_by(&house, &[&near], SILENCE_TIME - ms(800)).await?;
-            house.site.withdraw(&far);
-            served_by(&house, &[&near], ms(1_500)).await?;
+            restore(&harness.site, &copy, outage).await;
+            served_by(&harness, &[&near], SILENCE_TIME - ms(800)).await?;
+            harness.site.withdraw(&far);
+            served_by(&harness, &[&near], ms(1_500)).await?;
             ensure!(far.runs().len() == before, "sent to a server that left");
             Ok(())
         })?;
@@ -80,11 +82,11 @@
 #[test]
 fn a_leaving_server_gets_no_requests_by_a_backup_entry() -> Result {
     run(async |executor| {
-        let (near, far, house) = start_with_two_servers(executor).await?;
-        let copy = house.site.store.copy();
-        house.site.announce(&far, State::Draining);
+        let (near, far, harness) = start_with_two_servers(executor).await?;
+        let copy = harness.site.store.copy();
+        harness.site.announce(&far, State::Draining);
         let id = far.settings().id.parse()?;
-        let fleet = &house.router.relay().fleet;
+        let fleet = &harness.router.relay().fleet;
         wait_until("leaving", async || {
             Ok(fleet
                 .get(&id)
@@ -92,8 +94,8 @@
         })
         .await?;
         let before = far.runs().len();
-        restore_after_outage(&house.site, &copy).await;
-        served_by(&house, &[&near], SILENCE_TIME + ms(500)).await?;
+        restore_after_outage(&harness.site, &copy).await;
+        served_by(&harness, &[&near], SILENCE_TIME + ms(500)).await?;
         ensure!(far.runs().len() == before, "sent to a server that leaves");
         Ok(())
     })
@@ -105,28 +107,28 @@
 fn a_server_that_joined_after_the_backup_has_two_seconds() -> Result {
     for outage in [true, false] {
         run(async |executor| {
-            let (near, house) = start_with_one_server(executor).await?;
-            let copy = house.site.store.copy();
-            let again = house.site.server(server_settings(2))?;
-            let silent = house.site.server(server_settings(3))?;
+            let (near, harness) = start_with_one_server(executor).await?;
+            let copy = harness.site.store.copy();
+            let again = harness.site.server(server_settings(2))?;
+            let silent = harness.site.server(server_settings(3))?;
             wait_until("joined", async || {
-                Ok(house.knows(&again) && house.knows(&silent))
+                Ok(harness.knows(&again) && harness.knows(&silent))
             })
             .await?;
-            restore(&house.site, &copy, outage).await;
+            restore(&harness.site, &copy, outage).await;
             let back = Instant::now();
             while back.elapsed() < REWRITE_TIME - ms(300) {
-                ensure!(house.knows(&again), "after {:?}", back.elapsed());
-                served_by(&house, &[&near, &again, &silent], ms(50)).await?;
+                ensure!(harness.knows(&again), "after {:?}", back.elapsed());
+                served_by(&harness, &[&near, &again, &silent], ms(50)).await?;
             }
-            house.site.announce(&again, State::Ready);
-            removed(&house, &silent).await?;
+            harness.site.announce(&again, State::Ready);
+            removed(&harness, &silent).await?;
             ensure!(back.elapsed() < ms(3_500), "{:?}", back.elapsed());
             ensure!(
-                house.knows(&again),
+                harness.knows(&again),
                 "removed though it wrote its entry again"
             );
-            served_by(&house, &[&near, &again], ms(300)).await
+            served_by(&harness, &[&near, &again], ms(300)).await
         })?;
     }
     Ok(())
@@ -136,18 +138,18 @@
 #[test]
 fn a_server_that_rewrites_its_entry_is_used_at_once() -> Result {
     run(async |executor| {
-        let (near, far, house) = start_with_two_servers(executor).await?;
-        let copy = house.site.store.copy();
-        house.site.withdraw(&far);
-        removed(&house, &far).await?;
-        restore_after_outage(&house.site, &copy).await;
+        let (near, far, harness) = start_with_two_servers(executor).await?;
+        let copy = harness.site.store.copy();
+        harness.site.withdraw(&far);
+        removed(&harness, &far).await?;
+        restore_after_outage(&harness.site, &copy).await;
         Timer::after(ms(500)).await;
-        ensure!(!house.knows(&far), "known by its backup entry alone");
-        house.site.announce(&far, State::Ready);
+        ensure!(!harness.knows(&far), "known by its backup entry alone");
+        harness.site.announce(&far, State::Ready);
         let since = Instant::now();
-        wait_until("known", async || Ok(house.knows(&far))).await?;
+        wait_until("known", async || Ok(harness.knows(&far))).await?;
         ensure!(since.elapsed() < ms(1_000), "{:?}", since.elapsed());
-        served_by(&house, &[&near, &far], ms(200)).await
+        served_by(&harness, &[&near, &far], ms(200)).await
     })
 }
 
@@ -156,20 +158,20 @@
 #[test]
 fn a_server_with_only_a_backup_entry_is_used_after_the_hold_time() -> Result {
     run(async |executor| {
-        let (near, far, house) = start_with_two_servers(executor).await?;
-        let copy = house.site.store.copy();
-        house.site.withdraw(&far);
-        removed(&house, &far).await?;
+        let (near, far, harness) = start_with_two_servers(executor).await?;
+        let copy = harness.site.store.copy();
+        harness.site.withdraw(&far);
+        removed(&harness, &far).await?;
         let back = Instant::now();
-        restore_after_outage(&house.site, &copy).await;
-        wait_until("known", async || Ok(house.knows(&far))).await?;
+        restore_after_outage(&harness.site, &copy).await;
+        wait_until("known", async || Ok(harness.knows(&far))).await?;
         ensure!(back.elapsed() > SILENCE_TIME, "{:?}", back.elapsed());
         ensure!(
             back.elapsed() < SILENCE_TIME + ms(1_500),
             "{:?}",
             back.elapsed()
         );
-        served_by(&house, &[&near, &far], ms(200)).await
+        served_by(&harness, &[&near, &far], ms(200)).await
     })
 }
 
@@ -178,9 +180,9 @@
 #[test]
 fn a_backup_entry_of_an_earlier_incarnation_does_not_end_the_present_one() -> Result {
     run(async |executor| {
-        let (near, far, house) = start_with_two_servers(executor).await?;
+        let (near, far, harness) = start_with_two_servers(executor).await?;
         let born = |birth: u64| {
-            house
+            harness
                 .site
                 .announce_with(&far, far.address(), State::Ready, |entry| {
                     entry["born"] = birth.into();
@@ -188,13 +190,13 @@
         };
         born(1);
         let id = far.settings().id.parse()?;
-        let fleet = &house.router.relay().fleet;
+        let fleet = &harness.router.relay().fleet;
         let incarnation = || fleet.get(&id).and_then(|it| it.born()).map(|born| born.0);
         wait_until("born", async || Ok(incarnation() == Some(1))).await?;
-        let copy = house.site.store.copy();
+        let copy = harness.site.store.copy();
         born(2);
         wait_until("born again", async || Ok(incarnation() == Some(2))).await?;
-        restore_after_outage(&house.site, &copy).await;
+        restore_after_outage(&harness.site, &copy).await;
         let back = Instant::now();
         while back.elapsed() < REWRITE_TIME {
             ensure!(
@@ -206,7 +208,7 @@
             Timer::after(ms(20)).await;
         }
         born(2);
-        served_by(&house, &[&near, &far], ms(300)).await?;
+        served_by(&harness, &[&near, &far], ms(300)).await?;
         Timer::after(SILENCE_TIME - REWRITE_TIME + ms(400)).await;
         ensure!(incarnation() == Some(2), "{:?}", incarnation());
         Ok(())
@@ -221,7 +223,7 @@
         let site = site_with_keys()?;
         let near = site.server(server_settings(1))?;
         let far = site.server(server_settings(2))?;
-        let test_boxes = started(&executor, &site, 2).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 2).await?;
         let copy = site.store.copy();
         site.empty_hall("hall-1");
         for test_box in &test_boxes {
@@ -248,7 +250,7 @@
         for test_box in &test_boxes {
             wait_until("in use again", async || test_box.sends_to(&near)).await?;
         }
-        ready(&test_boxes).await
+        wait_until_ready(&test_boxes).await
     })
 }
 
@@ -260,7 +262,7 @@
         let site = site_with_keys()?;
         let near = site.server(server_settings(1))?;
         let _far = site.server(server_settings(2))?;
-        let test_boxes = started(&executor, &site, 2).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 2).await?;
         let copy = site.store.copy();
         site.empty_hall("hall-1");
         for test_box in &test_boxes {
@@ -270,7 +272,7 @@
         let back = Instant::now();
         let starts = TestBox::start(&executor, &site, "box-9", "hall-1", 9_000).await?;
         while back.elapsed() < REVOKE_TIME - ms(200) {
-            let ready = starts.router.relay().standing.may_begin();
+            let ready = starts.router.relay().era_state.may_serve();
             let known = starts.router.relay().view.catalog().is_some();
             ensure!(
                 !(ready && known && starts.sends_to(&near)?),
@@ -290,7 +292,7 @@
         let site = site_with_keys()?;
         let near = site.server(server_settings(1))?;
         let _far = site.server(server_settings(2))?;
-        let test_boxes = started(&executor, &site, 2).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 2).await?;
         let copy = site.store.copy();
         site.empty_hall("hall-1");
         for test_box in &test_boxes {
@@ -315,7 +317,7 @@
         let site = site_with_keys()?;
         let near = site.server(server_settings(1))?;
         let _far = site.server(server_settings(2))?;
-        let test_boxes = started(&executor, &site, 2).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 2).await?;
         let copy = site.store.copy();
         site.empty_hall("hall-1");
         for test_box in &test_boxes {
@@ -349,7 +351,7 @@
         let site = site_with_keys()?;
         let near = site.server(server_settings(1))?;
         let _far = site.server(server_settings(2))?;
-        let test_boxes = started(&executor, &site, 1).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 1).await?;
         let test_box = &test_boxes[0];
         let copy = site.store.copy();
         site.empty_hall("hall-1");
@@ -357,7 +359,7 @@
         restore_after_outage(&site, &copy).await;
         let era = site.store.era();
         wait_until("noticed", async || {
-            let known = test_box.router.relay().standing.era();
+            let known = test_box.router.relay().era_state.era();
             Ok(known.is_some_and(|known| known.0 == era))
         })
         .await?;
@@ -382,7 +384,7 @@
         let site = site_with_keys()?;
         let near = site.server(server_settings(1))?;
         let _far = site.server(server_settings(2))?;
-        let test_boxes = started(&executor, &site, 1).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 1).await?;
         let test_box = &test_boxes[0];
         site.empty_hall("hall-1");
         wait_until("emptied", async || Ok(!test_box.sends_to(&near)?)).await?;
@@ -409,7 +411,7 @@
         let near = site.server(server_settings(1))?;
         let far = site.server(server_settings(2))?;
         site.empty_hall("hall-1");
-        let test_boxes = started(&executor, &site, 2).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 2).await?;
         let copy = site.store.copy();
         site.take_back("hall-1");
         for test_box in &test_boxes {
@@ -425,16 +427,20 @@
         }
         site.account("tenant-2", &["new"], 1);
         wait_until("confirmed", async || {
-            let proven = |test_box: &TestBox| test_box.proven().is_some_and(|at| at > back);
-            Ok(test_boxes.iter().all(proven))
+            let is_confirmed =
+                |test_box: &TestBox| test_box.confirmed_at().is_some_and(|at| at > back);
+            Ok(test_boxes.iter().all(is_confirmed))
         })
         .await?;
-        box_harness::served(&test_boxes, &[&near, &far], ms(200)).await
+        box_harness::ensure_served(&test_boxes, &[&near, &far], ms(200)).await
     })
 }
 
-fn status(house: &Harness) -> Result<Option<String>> {
-    let value = house.site.store.value(&format!("status/rollout/{SERVICE}"));
+fn status(harness: &Harness) -> Result<Option<String>> {
+    let value = harness
+        .site
+        .store
+        .value(&format!("status/rollout/{SERVICE}"));
     let Some(value) = value else {
         return Ok(None);
     };
@@ -442,19 +448,19 @@
     Ok(value["state"].as_str().map(str::to_owned))
 }
 
-fn order(house: &Harness) {
+fn order(harness: &Harness) {
     let order = json!({ "service": SERVICE, "target_version": "v2", "duration_s": 20.0 });
     let key = format!("op/rollout/{SERVICE}");
-    house.site.store.put(&key, &order);
+    harness.site.store.put(&key, &order);
 }
 
 /// Adds servers with a release that fails to those of a box; returns them.
-async fn failing(house: &Harness) -> Result<Vec<Server>> {
+async fn failing(harness: &Harness) -> Result<Vec<Server>> {
     let mut servers = Vec::new();
     for number in 11..17 {
         let server = Server::start(server_settings(number))?;
         let address = server.address();
-        house
+        harness
             .site
             .announce_with(&server, address, State::Ready, |entry| {
                 entry["version"] = "v2".into();
@@ -463,17 +469,17 @@
         servers.push(server);
     }
     wait_until("joined", async || {
-        Ok(servers.iter().all(|server| house.knows(server)))
+        Ok(servers.iter().all(|server| harness.knows(server)))
     })
     .await?;
     Ok(servers)
 }
 
-async fn rolled_back(house: &Harness) -> Result {
+async fn rolled_back(harness: &Harness) -> Result {
     let start = Instant::now();
-    while status(house)?.as_deref() != Some("rolled_back") {
+    while status(harness)?.as_deref() != Some("rolled_back") {
         ensure!(start.elapsed() < ms(8_000), "never rolled back");
-        house
+        harness
             .post("/r/x", &format!("{:?}", start.elapsed()))
             .await?;
         Timer::after(ms(4)).await;
@@ -492,41 +498,41 @@
                 site.server(server_settings(1))?,
                 site.server(server_settings(2))?,
             ];
-            let house = Harness::start_with_settings(executor, site, |values| {
+            let harness = Harness::start_with_settings(executor, site, |values| {
                 values["bounds"]["exposure_share"] = json!(0.4);
             })
             .await?;
-            let servers = failing(&house).await?;
-            let before = house.site.store.copy();
-            order(&house);
-            wait_until("in progress", async || Ok(status(&house)?.is_some())).await?;
-            let begun = house.site.store.copy();
-            rolled_back(&house).await?;
+            let servers = failing(&harness).await?;
+            let before = harness.site.store.copy();
+            order(&harness);
+            wait_until("in progress", async || Ok(status(&harness)?.is_some())).await?;
+            let begun = harness.site.store.copy();
+            rolled_back(&harness).await?;
             let got = || -> usize { servers.iter().map(|server| server.runs().len()).sum() };
             let tried = got();
-            restore_after_outage(&house.site, if behind_order { &before } else { &begun }).await;
+            restore_after_outage(&harness.site, if behind_order { &before } else { &begun }).await;
             let back = Instant::now();
             let mut number = 0;
             while back.elapsed() < ms(1_500) {
                 number += 1;
-                house.post("/r/x", &format!("after-{number}")).await?;
+                harness.post("/r/x", &format!("after-{number}")).await?;
             }
             if behind_order {
-                order(&house);
+                order(&harness);
             }
             wait_until("written again", async || {
                 number += 1;
-                house.post("/r/x", &format!("after-{number}")).await?;
-                Ok(status(&house)?.as_deref() == Some("rolled_back"))
+                harness.post("/r/x", &format!("after-{number}")).await?;
+                Ok(status(&harness)?.as_deref() == Some("rolled_back"))
             })
             .await?;
             while back.elapsed() < ms(6_500) {
                 number += 1;
-                house.post("/r/x", &format!("after-{number}")).await?;
+                harness.post("/r/x", &format!("after-{number}")).await?;
                 Timer::after(ms(5)).await;
             }
             ensure!(got() == tried, "{} more than {tried}", got() - tried);
-            let state = status(&house)?;
+            let state = status(&harness)?;
             ensure!(state.as_deref() == Some("rolled_back"), "{state:?}");
             Ok(())
         })?;
@@ -542,7 +548,7 @@
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
         let copy = site.store.copy();
-        let test_boxes = started(&executor, &site, 4).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 4).await?;
         let before = site.store.keys(BOXES).len();
         ensure!(before == 4, "{before}");
         let calls: u64 = site.store.all_calls().values().sum();
@@ -553,7 +559,7 @@
         // Each box needs its entry, a lease and a write; the readers also read and
         // check.
         ensure!(made < 80, "{made} calls");
-        box_harness::served(&test_boxes, &[&server], ms(300)).await
+        box_harness::ensure_served(&test_boxes, &[&server], ms(300)).await
     })
 }
 
@@ -563,7 +569,7 @@
     run(async |executor| {
         let site = site_with_keys()?;
         let server = site.server(server_settings(1))?;
-        let test_boxes = started(&executor, &site, 3).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 3).await?;
         let copy = site.store.copy();
         let known = site.account("tenant-2", &["newer"], 1);
         let version = |test_box: &TestBox| test_box.router.relay().view.version().0;
@@ -571,7 +577,7 @@
             Ok(test_boxes.iter().all(|it| version(it) == known))
         })
         .await?;
-        test_boxes[0].store.silence();
+        test_boxes[0].store.make_unresponsive();
         site.store.go_back(&copy);
         let newest = site.account("tenant-2", &["newest"], 1);
         wait_until("in force", async || {
@@ -580,12 +586,12 @@
         .await?;
         // The first one answers the others again as soon as it has observed the
         // restore.
-        test_boxes[0].store.mend();
+        test_boxes[0].store.restore_link();
         wait_until("in force", async || Ok(version(&test_boxes[0]) == newest)).await?;
         let mended = Instant::now();
         wait_until("confirmed", async || {
-            let proven = test_boxes[0].proven();
-            Ok(proven.is_some_and(|at| at.elapsed() < ms(500)))
+            let confirmed_at = test_boxes[0].confirmed_at();
+            Ok(confirmed_at.is_some_and(|at| at.elapsed() < ms(500)))
         })
         .await?;
         ensure!(mended.elapsed() < ms(2_500), "{:?}", mended.elapsed());
@@ -594,7 +600,7 @@
             for test_box in &test_boxes {
                 ensure!(version(test_box) == newest, "{}", version(test_box));
             }
-            box_harness::served(&test_boxes, &[&server], ms(50)).await?;
+            box_harness::ensure_served(&test_boxes, &[&server], ms(50)).await?;
         }
         Ok(())
     })
@@ -604,17 +610,17 @@
 #[test]
 fn unreadable_backup_entries_are_not_servers() -> Result {
     run(async |executor| {
-        let (near, house) = start_with_one_server(executor).await?;
-        house
+        let (near, harness) = start_with_one_server(executor).await?;
+        harness
             .site
             .store
             .put_bytes(&format!("{}x", names::SERVERS), b"?".to_vec());
-        let copy = house.site.store.copy();
-        house.site.store.remove(&format!("{}x", names::SERVERS));
-        restore_after_outage(&house.site, &copy).await;
-        served_by(&house, &[&near], ms(600)).await?;
+        let copy = harness.site.store.copy();
+        harness.site.store.remove(&format!("{}x", names::SERVERS));
+        restore_after_outage(&harness.site, &copy).await;
+        served_by(&harness, &[&near], ms(600)).await?;
         let id: ids::Server = "x".parse().map_err(|error| eyre!("{error}"))?;
-        ensure!(house.router.relay().fleet.get(&id).is_none(), "known");
+        ensure!(harness.router.relay().fleet.get(&id).is_none(), "known");
         Ok(())
     })
 }
--- a/crates/relay/tests/relay/rollouts.rs
+++ b/crates/relay/tests/relay/rollouts.rs
@@ -285,7 +285,7 @@
             );
             rollouts.confirm_at(now);
             for _ in 0..each {
-                target_requests += u64::from(select(&rollouts, false, now)?.is_trial());
+                target_requests += u64::from(select(&rollouts, false, now)?.is_canary());
             }
         }
         let most = (0.07 * (boxes * each) as f64) + TOLERANCE;
--- a/crates/relay/tests/relay/seeds.rs
+++ b/crates/relay/tests/relay/seeds.rs
@@ -11,7 +11,7 @@
 use tidepier_relay_standin::store::Down;
 use tidepier_relay_standin::Server;
 
-use crate::box_harness::{ready, site_with_keys, with_key, TestBox, REVOKE_TIME};
+use crate::box_harness::{site_with_keys, wait_until_ready, with_key, TestBox, REVOKE_TIME};
 use crate::harness::{
     ensure_not_executed, ensure_served_by, ms, post, run, server_settings, wait_until, Executor,
     Result, SERVICE,
@@ -69,7 +69,10 @@
             }
             let view = |test_box: &TestBox| test_box.router.relay().view.version();
             ensure!(view(&test_box) == view(&other), "another version");
-            ensure!(test_box.proven() <= other.proven(), "a proof too young");
+            ensure!(
+                test_box.confirmed_at() <= other.confirmed_at(),
+                "a proof too young"
+            );
         }
         Ok(())
     })
@@ -82,11 +85,11 @@
         let lost = Instant::now();
         site.account("tenant-2", &["new"], 1);
         let test_box = start_alone(&executor, &site, &[other.peer.ip()]).await?;
-        wait_until("seeded", async || Ok(test_box.proven().is_some())).await?;
+        wait_until("seeded", async || Ok(test_box.confirmed_at().is_some())).await?;
         while lost.elapsed() < REVOKE_TIME + ms(600) {
-            let proven = test_box.proven();
-            let proven = proven.ok_or_else(|| eyre!("no proof"))?;
-            ensure!(proven <= lost, "{:?} too young", proven - lost);
+            let confirmed_at = test_box.confirmed_at();
+            let confirmed_at = confirmed_at.ok_or_else(|| eyre!("no proof"))?;
+            ensure!(confirmed_at <= lost, "{:?} too young", confirmed_at - lost);
             let attempt = format!("{:?}", lost.elapsed());
             let asked = Instant::now();
             let answer = test_box.call(&with_key("goes", &attempt)).await?;
@@ -100,7 +103,7 @@
         // Requests on routes without keys are still served.
         ensure_served_by(&test_box.call(&post("/r/x", "on")).await?, &[&server], "on")?;
         set_down(&site, None);
-        ready(&[test_box, other]).await
+        wait_until_ready(&[test_box, other]).await
     })
 }
 
@@ -109,7 +112,7 @@
     run(async |executor| {
         let (site, server, other) = cut_off(&executor).await?;
         let test_box = start_alone(&executor, &site, &[other.peer.ip()]).await?;
-        wait_until("seeded", async || Ok(test_box.proven().is_some())).await?;
+        wait_until("seeded", async || Ok(test_box.confirmed_at().is_some())).await?;
         let seeded = test_box.router.relay().view.version();
         let version = site.declare(&[Route::new("/new/", Kind::Repeatable, SERVICE)]);
         // The other box does not get the new version; it would report the older one.
--- a/crates/relay/tests/relay/server_history.rs
+++ b/crates/relay/tests/relay/server_history.rs
@@ -73,7 +73,7 @@
     ensure!(since == all, "{since:?}");
     // Positions of another process, and positions that were never reached.
     let other = Position {
-        life: end.life ^ 1,
+        incarnation: end.incarnation ^ 1,
         ..end
     };
     let ahead = Position {
@@ -89,7 +89,7 @@
 #[test]
 fn each_history_has_its_own_id() -> Result {
     let lives: Vec<u64> = (0..20)
-        .map(|_| History::default().since(Position::default()).1.life)
+        .map(|_| History::default().since(Position::default()).1.incarnation)
         .collect();
     ensure!(
         !lives.contains(&0),
--- a/crates/relay/tests/relay/shared.rs
+++ b/crates/relay/tests/relay/shared.rs
@@ -17,8 +17,8 @@
 
 use crate::box_harness::{self, site_with_keys, TestBox};
 use crate::choice_harness::id;
+use crate::faulty_readers::wait_until_closed;
 use crate::harness::{ms, post, run, stream_server_settings, wait_until, Executor, Result};
-use crate::impostors::closed;
 
 /// Time within which all boxes know of one box's placement: three requests at intervals of
 /// 0.4 s, and as much again on a busy machine.
@@ -67,7 +67,7 @@
     ] {
         boxes.push(TestBox::start(executor, site, name, hall, link).await?);
     }
-    box_harness::ready(&boxes).await?;
+    box_harness::wait_until_ready(&boxes).await?;
     Ok(boxes)
 }
 
@@ -131,7 +131,7 @@
     run(async |executor| {
         let (_site, _engines, boxes) = boxes_with_a_known_placement(&executor).await?;
         for test_box in &boxes {
-            test_box.store.silence();
+            test_box.store.make_unresponsive();
         }
         Timer::after(ms(2_500)).await;
         for (number, test_box) in boxes.iter().enumerate() {
@@ -232,8 +232,8 @@
         let report_request = |version| traffic::Request {
             version,
             number: 1,
-            asker: traffic::Requester::Box,
-            place: Position::default(),
+            requester: traffic::Requester::Box,
+            position: Position::default(),
             report: traffic::Report {
                 boxes: u32::MAX,
                 counts: vec![Count {
@@ -241,7 +241,7 @@
                     requests: u32::MAX,
                 }],
                 rows: (0..10_000).map(|part| Placement { part, server }).collect(),
-                untold: u32::MAX,
+                omitted: u32::MAX,
                 crashes: Vec::new(),
                 trials: Vec::new(),
                 rollouts: None,
@@ -249,13 +249,13 @@
         };
         let mut other = open().await?;
         link::send(&other, &PeerRequest::Traffic(report_request(VERSION + 1))).await?;
-        closed(&mut other).await?;
+        wait_until_closed(&mut other).await?;
         let mut other = open().await?;
         let wrong = recall::Request {
             version: VERSION + 1,
         };
         link::send(&other, &PeerRequest::Recall(wrong)).await?;
-        closed(&mut other).await?;
+        wait_until_closed(&mut other).await?;
         // Two connections with the same report, so that sums would overflow if unchecked.
         let mut connections = Vec::new();
         for _ in 0..2 {
--- a/crates/relay/tests/relay/sim.rs
+++ b/crates/relay/tests/relay/sim.rs
@@ -62,7 +62,7 @@
     /// Simulated time.
     pub(crate) time: Duration,
     /// How long clients retry after a refusal; zero: not at all.
-    pub(crate) patience: Duration,
+    pub(crate) max_wait: Duration,
     /// What cold servers can take, and how long they are cold.
     pub(crate) cold: Cold,
     /// The fleet's bound: a multiple of that, and so many requests a second more.
@@ -94,7 +94,7 @@
     /// When each server got a request that it accepted.
     pub(crate) arrivals: HashMap<ids::Server, Vec<Instant>>,
     /// When each server got a request that it rejected.
-    pub(crate) turned: HashMap<ids::Server, Vec<Instant>>,
+    pub(crate) rejected: HashMap<ids::Server, Vec<Instant>>,
 }
 
 impl Outcome {
@@ -263,7 +263,7 @@
 
     /// Makes some servers reject all requests for the first `time`, and request a back-off
     /// of `backoff`.
-    pub(crate) fn turn_away(
+    pub(crate) fn reject(
         &self,
         of: impl Fn(&Server) -> bool,
         time: Duration,
@@ -285,7 +285,7 @@
         };
         let answer = Answer {
             status: 503,
-            not_run: true,
+            not_executed: true,
             retry_after: Some(*backoff),
             ..Answer::default()
         };
@@ -374,7 +374,7 @@
                     backoff.retry_delay(first_attempts as u8 % 3, now)
                 });
                 let again = now + wait;
-                if self.plan.patience > again - since {
+                if self.plan.max_wait > again - since {
                     retries.push(Reverse(Retry {
                         at: again,
                         subject,
@@ -385,9 +385,9 @@
                 }
                 continue;
             };
-            let now = choice.cold.unwrap_or(now);
-            if choice.cold.is_some() {
-                choice.backend.pace.sent(now);
+            let now = choice.admission_time.unwrap_or(now);
+            if choice.admission_time.is_some() {
+                choice.backend.window.sent(now);
             }
             self.sim_boxes[box_index]
                 .index
@@ -426,8 +426,8 @@
             let choice = choice.or_else(|| self.choose(sim_box, prompt, now, &tried, COLD_WAIT))?;
             let server = &choice.backend.server.id;
             if self.rejects(sim_box, &choice, now) {
-                let turned = outcome.turned.entry(server.clone()).or_default();
-                turned.push(now);
+                let rejected = outcome.rejected.entry(server.clone()).or_default();
+                rejected.push(now);
                 tried.push(server.clone());
                 if tried.len() >= ATTEMPTS {
                     return None;
@@ -438,7 +438,7 @@
                 return Some(choice);
             }
             outcome.absent += 1;
-            choice.backend.health.sent(now);
+            choice.backend.health.record_sent(now);
             choice.backend.record(health::Outcome::NotListening, now);
             tried.push(server.clone());
         }
--- a/crates/relay/tests/relay/suspended.rs
+++ b/crates/relay/tests/relay/suspended.rs
@@ -25,14 +25,14 @@
 async fn alone(executor: &Executor) -> Result<(Site, Server, TestBox)> {
     let site = site_with_keys()?;
     let server = site.server(server_settings(1))?;
-    let machine = TestBox::start(executor, &site, "box-0", "hall-1", 5_000).await?;
-    box_harness::ready(std::slice::from_ref(&machine)).await?;
-    Ok((site, server, machine))
+    let test_box = TestBox::start(executor, &site, "box-0", "hall-1", 5_000).await?;
+    box_harness::wait_until_ready(std::slice::from_ref(&test_box)).await?;
+    Ok((site, server, test_box))
 }
 
 /// Suspends a box while something happens elsewhere.
-async fn suspended(machine: &TestBox, meanwhile: impl AsyncFnOnce() -> Result) -> Result {
-    machine.freeze(true);
+async fn suspended(test_box: &TestBox, meanwhile: impl AsyncFnOnce() -> Result) -> Result {
+    test_box.freeze(true);
     Timer::after(ms(20)).await;
     meanwhile().await?;
     suspend(SUSPENDED);
@@ -42,26 +42,26 @@
 #[test]
 fn a_key_that_was_removed_meanwhile_is_not_accepted() -> Result {
     run(async |executor| {
-        let (site, server, machine) = alone(&executor).await?;
-        suspended(&machine, async || {
+        let (site, server, test_box) = alone(&executor).await?;
+        suspended(&test_box, async || {
             // Nothing that is sent meanwhile arrives afterwards either.
-            machine.store.silence();
+            test_box.store.make_unresponsive();
             site.account("tenant-2", &["another"], 1);
             Ok(())
         })
         .await?;
-        machine.freeze(false);
+        test_box.freeze(false);
         for attempt in 0..10 {
             let attempt = format!("goes-{attempt}");
-            let answer = machine.call(&with_key("goes", &attempt)).await?;
+            let answer = test_box.call(&with_key("goes", &attempt)).await?;
             ensure!(answer.status == 503, "{attempt}: {answer:?}");
             ensure!(server.ran(&attempt) == 0, "{attempt} ran");
         }
-        ensure!(!machine.is_ready(), "ready by an old confirmation");
+        ensure!(!test_box.is_ready(), "ready by an old confirmation");
         ensure!(SUSPENDED > REVOKE_TIME, "the case did not arise");
-        machine.store.mend();
-        wait_until("ready again", async || Ok(machine.is_ready())).await?;
-        let answer = machine.call(&with_key("stays", "stays")).await?;
+        test_box.store.restore_link();
+        wait_until("ready again", async || Ok(test_box.is_ready())).await?;
+        let answer = test_box.call(&with_key("stays", "stays")).await?;
         ensure!(answer.status == 200, "{answer:?}");
         Ok(())
     })
@@ -72,18 +72,18 @@
 #[test]
 fn a_request_whose_time_was_over_meanwhile_is_answered_at_once() -> Result {
     run(async |executor| {
-        let (_site, server, machine) = alone(&executor).await?;
+        let (_site, server, test_box) = alone(&executor).await?;
         server.fault(Fault::Hang, u32::MAX);
         let call = with_key("stays", "held");
         let held = async {
             let start = std::time::Instant::now();
-            let answer = machine.call(&call).await?;
+            let answer = test_box.call(&call).await?;
             Result::Ok((answer, start.elapsed()))
         };
         let stop = async {
             wait_until("running", async || Ok(server.running() == 1)).await?;
-            suspended(&machine, async || Ok(())).await?;
-            machine.freeze(false);
+            suspended(&test_box, async || Ok(())).await?;
+            test_box.freeze(false);
             Result::Ok(())
         };
         let ((answer, took), ()) = futures_lite::future::try_zip(held, stop).await?;
@@ -98,17 +98,17 @@
 #[test]
 fn the_time_limit_of_a_stop_continues_meanwhile() -> Result {
     run(async |executor| {
-        let (_site, server, machine) = alone(&executor).await?;
+        let (_site, server, test_box) = alone(&executor).await?;
         server.fault(Fault::Hang, u32::MAX);
         let call = with_key("stays", "hangs").with(names::DEADLINE, "30000");
         let hangs = async {
-            machine.call(&call).await?;
+            test_box.call(&call).await?;
             std::future::pending::<Result>().await
         };
         let stopped = async {
             wait_until("running", async || Ok(server.running() == 1)).await?;
             let start = std::time::Instant::now();
-            let stop = machine.router.stop();
+            let stop = test_box.router.stop();
             let suspends = async {
                 Timer::after(ms(100)).await;
                 suspend(SUSPENDED);
