--- a/crates/relay/tests/relay/emptied_halls.rs
+++ b/crates/relay/tests/relay/emptied_halls.rs
@@ -14,7 +14,7 @@
 use tidepier_relay_standin::store::Down;
 use tidepier_relay_standin::{names, Client};
 
-use crate::box_harness::{ready, started, TestBox};
+use crate::box_harness::{start_boxes_with_reader, wait_until_ready, TestBox};
 use crate::choice_harness::id;
 use crate::harness::{
     count_deliveries, ensure_not_executed, ensure_served_by, ms, post, run, server_settings, site,
@@ -35,17 +35,17 @@
 }
 
 /// Waits until boxes send nothing more to a server, for no longer than promised.
-async fn emptied(machines: &[TestBox], server: &Server, since: Instant) -> Result {
-    for machine in machines {
-        wait_until("emptied", async || Ok(!machine.sends_to(server)?)).await?;
+async fn emptied(test_boxes: &[TestBox], server: &Server, since: Instant) -> Result {
+    for test_box in test_boxes {
+        wait_until("emptied", async || Ok(!test_box.sends_to(server)?)).await?;
         ensure!(since.elapsed() < EMPTY_TIME, "{:?}", since.elapsed());
     }
     Ok(())
 }
 
-async fn in_use_again(machines: &[TestBox], server: &Server, since: Instant) -> Result {
-    for machine in machines {
-        wait_until("in use again", async || machine.sends_to(server)).await?;
+async fn in_use_again(test_boxes: &[TestBox], server: &Server, since: Instant) -> Result {
+    for test_box in test_boxes {
+        wait_until("in use again", async || test_box.sends_to(server)).await?;
         ensure!(since.elapsed() < EMPTY_TIME, "{:?}", since.elapsed());
     }
     Ok(())
@@ -57,23 +57,23 @@
         let site = site()?;
         let near = site.server(server_settings(1))?;
         let far = site.server(server_settings(2))?;
-        let machines = started(&executor, &site, 3).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 3).await?;
         for _ in 0..2 {
             let since = Instant::now();
             site.empty_hall("hall-1");
-            emptied(&machines, &near, since).await?;
+            emptied(&test_boxes, &near, since).await?;
             Timer::after(IN_FLIGHT_TIME).await;
             let quiet = Instant::now();
-            for (number, machine) in machines.iter().cycle().take(60).enumerate() {
+            for (number, test_box) in test_boxes.iter().cycle().take(60).enumerate() {
                 let attempt = format!("{number}");
                 let path = ["/r/x", "/o/x", "/s/x"][number % 3];
-                let answer = machine.call(&post(path, &attempt)).await?;
+                let answer = test_box.call(&post(path, &attempt)).await?;
                 ensure_served_by(&answer, &[&far], &attempt)?;
             }
             ensure!(after(&near, quiet) == 0, "sent to an emptied hall");
             let since = Instant::now();
             site.take_back("hall-1");
-            in_use_again(&machines, &near, since).await?;
+            in_use_again(&test_boxes, &near, since).await?;
         }
         Ok(())
     })
@@ -88,26 +88,26 @@
             site.server(server_settings(2))?,
         ];
         let stays = site.server(server_settings(3))?;
-        let machines = started(&executor, &site, 2).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 2).await?;
         let since = Instant::now();
         site.empty_hall("hall-2");
         site.empty_hall("hall-1");
         site.empty_hall("a-hall-that-nobody-knows");
         for server in &servers {
-            emptied(&machines, server, since).await?;
+            emptied(&test_boxes, server, since).await?;
         }
         ensure_served_by(
-            &machines[1].call(&post("/r/x", "only")).await?,
+            &test_boxes[1].call(&post("/r/x", "only")).await?,
             &[&stays],
             "only",
         )?;
         let since = Instant::now();
         site.take_back("hall-2");
         site.take_back("a-hall-that-nobody-knows");
-        in_use_again(&machines, &servers[1], since).await?;
-        for machine in &machines {
+        in_use_again(&test_boxes, &servers[1], since).await?;
+        for test_box in &test_boxes {
             ensure!(
-                !machine.sends_to(&servers[0])?,
+                !test_box.sends_to(&servers[0])?,
                 "the emptying of hall-1 was cancelled too"
             );
         }
@@ -121,18 +121,18 @@
         let site = site()?;
         let near = site.server(server_settings(1))?;
         let _far = site.server(server_settings(2))?;
-        let machines = started(&executor, &site, 2).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 2).await?;
         for _ in 0..2 {
             site.store.deaf(ms(3_000));
             site.store.cut_watches();
             Timer::after(ms(50)).await;
             let since = Instant::now();
             site.empty_hall("hall-1");
-            emptied(&machines, &near, since).await?;
+            emptied(&test_boxes, &near, since).await?;
             let since = Instant::now();
             site.take_back("hall-1");
             site.store.compact();
-            in_use_again(&machines, &near, since).await?;
+            in_use_again(&test_boxes, &near, since).await?;
         }
         Ok(())
     })
@@ -144,22 +144,22 @@
         let site = site()?;
         let near = site.server(server_settings(1))?;
         let _far = site.server(server_settings(2))?;
-        let machines = started(&executor, &site, 2).await?;
+        let test_boxes = start_boxes_with_reader(&executor, &site, 2).await?;
         site.store.faults(|faults| faults.down = Some(Down::Silent));
         Timer::after(ms(1_500)).await;
         site.empty_hall("hall-1");
         let since = Instant::now();
         site.store.faults(|faults| faults.down = None);
-        emptied(&machines, &near, since).await?;
+        emptied(&test_boxes, &near, since).await?;
         site.store.faults(|faults| faults.down = Some(Down::Reset));
         Timer::after(ms(1_500)).await;
-        for machine in &machines {
-            ensure!(!machine.sends_to(&near)?, "no longer emptied in an outage");
+        for test_box in &test_boxes {
+            ensure!(!test_box.sends_to(&near)?, "no longer emptied in an outage");
         }
         site.take_back("hall-1");
         let since = Instant::now();
         site.store.faults(|faults| faults.down = None);
-        in_use_again(&machines, &near, since).await
+        in_use_again(&test_boxes, &near, since).await
     })
 }
 
@@ -170,17 +170,17 @@
         let near = site.server(server_settings(1))?;
         let far = site.server(server_settings(2))?;
         site.empty_hall("hall-1");
-        let mut machines = started(&executor, &site, 2).await?;
-        for machine in &machines {
-            ensure!(!machine.sends_to(&near)?, "known too late");
+        let mut test_boxes = start_boxes_with_reader(&executor, &site, 2).await?;
+        for test_box in &test_boxes {
+            ensure!(!test_box.sends_to(&near)?, "known too late");
         }
         // One more box, which learns of it from another.
         let late = TestBox::start(&executor, &site, "box-9", "hall-1", 100).await?;
-        machines.push(late);
-        ready(&machines).await?;
-        ensure!(!machines[2].sends_to(&near)?, "known too late");
+        test_boxes.push(late);
+        wait_until_ready(&test_boxes).await?;
+        ensure!(!test_boxes[2].sends_to(&near)?, "known too late");
         ensure_served_by(
-            &machines[2].call(&post("/r/x", "late")).await?,
+            &test_boxes[2].call(&post("/r/x", "late")).await?,
             &[&far],
             "late",
         )?;
@@ -192,9 +192,9 @@
 #[test]
 fn a_retry_does_not_go_to_an_emptied_hall() -> Result {
     run(async |executor| {
-        let (near, far, house) = start_with_two_servers(executor).await?;
-        let relay = house.router.relay();
-        house.site.empty_hall("hall-2");
+        let (near, far, harness) = start_with_two_servers(executor).await?;
+        let relay = harness.router.relay();
+        harness.site.empty_hall("hall-2");
         let service = id(crate::harness::SERVICE)?;
         wait_until("emptied", async || {
             Ok(relay.fleet.serving(&service).len() == 1)
@@ -203,7 +203,7 @@
         near.fault(Fault::Shed, u32::MAX);
         for number in 0..5 {
             let attempt = format!("{number}");
-            ensure_not_executed(&house.post("/r/x", &attempt).await?)?;
+            ensure_not_executed(&harness.post("/r/x", &attempt).await?)?;
             ensure!(
                 count_deliveries(&[&far], &attempt) == 0,
                 "retried in an emptied hall"
@@ -218,13 +218,13 @@
     run(async |executor| {
         let site = site()?;
         let server = site.server(stream_server_settings(1, 20, ms(60)))?;
-        let house = Harness::start_ready(executor.clone(), site).await?;
-        let front = house.router_address();
+        let harness = Harness::start_ready(executor.clone(), site).await?;
+        let front = harness.router_address();
         let call = post("/u/x", "long");
         let stream = executor.spawn(async move { Client::once(front, &call).await });
         wait_until("begun", async || Ok(server.running() == 1)).await?;
-        house.site.empty_hall("hall-1");
-        let fleet = &house.router.relay().fleet;
+        harness.site.empty_hall("hall-1");
+        let fleet = &harness.router.relay().fleet;
         let hall = id("hall-1")?;
         let service = id(crate::harness::SERVICE)?;
         wait_until("emptied", async || Ok(fleet.serving(&service).is_empty())).await?;
@@ -238,46 +238,46 @@
 #[test]
 fn without_a_server_outside_emptied_halls_requests_are_refused_at_once() -> Result {
     run(async |executor| {
-        let (near, far, house) = start_with_two_servers(executor).await?;
-        house.site.empty_hall("hall-1");
-        house.site.empty_hall("hall-2");
-        let fleet = &house.router.relay().fleet;
+        let (near, far, harness) = start_with_two_servers(executor).await?;
+        harness.site.empty_hall("hall-1");
+        harness.site.empty_hall("hall-2");
+        let fleet = &harness.router.relay().fleet;
         let service = id(crate::harness::SERVICE)?;
         wait_until("emptied", async || Ok(fleet.serving(&service).is_empty())).await?;
         for path in ["/r/x", "/o/x", "/s/x"] {
             let since = Instant::now();
-            let answer = house.post(path, path).await?;
+            let answer = harness.post(path, path).await?;
             ensure_not_executed(&answer)?;
             ensure!(since.elapsed() < ms(100), "after {:?}", since.elapsed());
             ensure!(answer.body == br#"{"error":"emptied"}"#, "{answer:?}");
             ensure!(count_deliveries(&[&near, &far], path) == 0, "sent");
         }
-        ensure!(house.is_ready().await, "not ready for other services");
-        house.site.take_back("hall-2");
+        ensure!(harness.is_ready().await, "not ready for other services");
+        harness.site.take_back("hall-2");
         wait_until("in use again", async || {
             Ok(fleet.serving(&service).len() == 1)
         })
         .await?;
-        ensure_served_by(&house.post("/r/x", "again").await?, &[&far], "again")
+        ensure_served_by(&harness.post("/r/x", "again").await?, &[&far], "again")
     })
 }
 
 #[test]
 fn an_entry_that_names_no_hall_harms_none() -> Result {
     run(async |executor| {
-        let (near, far, house) = start_with_two_servers(executor).await?;
+        let (near, far, harness) = start_with_two_servers(executor).await?;
         for key in ["", "No Hall", "a/b"] {
-            house
+            harness
                 .site
                 .store
                 .put(&format!("{}{key}", names::EMPTIED), &true.into());
         }
-        house.site.store.put("op/other", &7.into());
-        house.site.empty_hall("hall-1");
-        let fleet = &house.router.relay().fleet;
+        harness.site.store.put("op/other", &7.into());
+        harness.site.empty_hall("hall-1");
+        let fleet = &harness.router.relay().fleet;
         let service = id(crate::harness::SERVICE)?;
         wait_until("emptied", async || Ok(fleet.serving(&service).len() == 1)).await?;
-        ensure_served_by(&house.post("/r/x", "one").await?, &[&far], "one")?;
+        ensure_served_by(&harness.post("/r/x", "one").await?, &[&far], "one")?;
         ensure!(near.runs().is_empty(), "sent to an emptied hall");
         Ok(())
     })
@@ -286,22 +286,22 @@
 #[test]
 fn a_freshness_check_costs_one_call_though_a_hall_is_emptied() -> Result {
     run(async |executor| {
-        let (_near, _far, house) = start_with_two_servers(executor).await?;
-        house.site.empty_hall("hall-1");
-        let fleet = &house.router.relay().fleet;
+        let (_near, _far, harness) = start_with_two_servers(executor).await?;
+        harness.site.empty_hall("hall-1");
+        let fleet = &harness.router.relay().fleet;
         let service = id(crate::harness::SERVICE)?;
         wait_until("emptied", async || Ok(fleet.serving(&service).len() == 1)).await?;
         Timer::after(ms(900)).await;
-        let lists = house.site.store.calls("kv-range");
-        let proofs = house.site.store.calls("kv-txn");
+        let lists = harness.site.store.calls("kv-range");
+        let proofs = harness.site.store.calls("kv-txn");
         Timer::after(ms(2_500)).await;
-        ensure!(house.site.store.calls("kv-range") == lists, "read again");
-        let asked = house.site.store.calls("kv-txn") - proofs;
+        ensure!(harness.site.store.calls("kv-range") == lists, "read again");
+        let asked = harness.site.store.calls("kv-txn") - proofs;
         ensure!(
             (2..=4).contains(&asked),
             "{asked} freshness checks in 2.5 s"
         );
-        let age = house.router.relay().view.age();
+        let age = harness.router.relay().view.age();
         let age = age.ok_or_else(|| eyre!("never confirmed current"))?;
         ensure!(age < ms(1_200), "confirmed current {age:?} ago");
         Ok(())
@@ -362,14 +362,14 @@
             }
             let at = index.index(changes.len());
             if *whole {
-                let told = state(&changes, at + 1);
-                let same = known.merge(&told, None);
-                prop_assert_eq!(same, sorted(known.list()) == sorted(told));
+                let listed = state(&changes, at + 1);
+                let same = known.merge(&listed, None);
+                prop_assert_eq!(same, sorted(known.list()) == sorted(listed));
             } else {
                 let hall = format!("hall-{}", changes[at].hall).parse().expect("a name");
                 match changes[at].empty {
-                    true => known.empty(hall, Revision::of(at as u64 + 1), None),
-                    false => known.take_back(hall, Revision::of(at as u64 + 1)),
+                    true => known.record_emptied(hall, Revision::of(at as u64 + 1), None),
+                    false => known.cancel(hall, Revision::of(at as u64 + 1)),
                 }
             }
         }
