--- a/crates/core/src/answer.rs
+++ b/crates/core/src/answer.rs
@@ -16,7 +16,7 @@
     pub attempt: Option<Box<str>>,
     /// Whether the server signed the answer as its own work.
     pub signed: bool,
-    /// Whether the server states that the request did not run there and never will.
+    /// Whether the server states that it did not execute the request and never will.
     pub not_executed: bool,
     /// Whether the server states that it is leaving: it takes no new requests.
     pub leaving: bool,
@@ -62,7 +62,7 @@
     pub offset: ids::Offset,
     /// The text that it adds to the answer.
     pub text: String,
-    /// The event's data as received, to be passed on unchanged.
+    /// The event's data as received, to be forwarded unchanged.
     pub data: String,
     /// Whether it completes the answer.
     pub last: bool,
--- a/crates/core/src/catalog.rs
+++ b/crates/core/src/catalog.rs
@@ -57,7 +57,7 @@
     /// route is resumable.
     Stream {
         /// Whether an answer that broke off may be continued at another server, after
-        /// the last event that was passed on.
+        /// the last event that was forwarded.
         resumable: bool,
     },
 }
--- a/crates/core/src/request.rs
+++ b/crates/core/src/request.rs
@@ -8,7 +8,7 @@
 /// One attempt of a client to have a request answered.
 #[derive(Debug, Clone, Default)]
 pub struct Request {
-    /// The client's id of this attempt; it is passed on to the server.
+    /// The client's id of this attempt; it is forwarded to the server.
     pub attempt: Box<str>,
     /// Host name, without a port, in lower case.
     pub host: Box<str>,
@@ -70,7 +70,7 @@
 /// What a box adds to a request that it sends to a server.
 #[derive(Debug, Clone, Copy)]
 pub struct Forward<'a> {
-    /// The only server that may run it.
+    /// The only server that may execute it.
     pub server: &'a ids::Server,
     /// Time that the server may still take.
     pub left: Option<Duration>,
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -166,7 +166,7 @@
 ///
 /// # Errors
 ///
-/// There is no answer that can be passed on.
+/// There is no answer that can be forwarded to the client.
 pub async fn send(permit: &Permit, dispatch: &Dispatch<'_>) -> Result<Reply, Failure> {
     let backend = permit.backend();
     let running = backend.run(dispatch.prefill);
@@ -257,7 +257,7 @@
 }
 
 /// Writes the request and reads the head of its answer. An answer may arrive before the
-/// request is written; returns whether the request was written whole.
+/// request is written; returns whether the request was written completely.
 async fn exchange(conn: &mut Conn, dispatch: &Dispatch<'_>) -> Result<(OwnAnswer, bool), Failure> {
     let writer = conn.writer();
     let written = std::cell::Cell::new(false);
--- a/crates/relay/src/crash/mod.rs
+++ b/crates/relay/src/crash/mod.rs
@@ -1,8 +1,8 @@
-//! Requests that crash the servers that run them, and the refusal of such requests.
+//! Requests that crash the servers that execute them, and the refusal of such requests.
 //!
-//! A request may crash each server that begins to run it, and its client sends it again,
-//! as a new attempt, to any box. Unless boxes remember its content, each attempt costs a
-//! server, and each server the requests of other clients that it was running: in the
+//! A request may crash each server that begins to execute it, and its client sends it
+//! again, as a new attempt, to any box. Unless boxes remember its content, each attempt costs a
+//! server, and each server the requests of other clients that it was executing: in the
 //! incident that led to this, 25 servers and about 5 requests of others each.
 //!
 //! * [`suspects`]: requests whose connections broke, by server.
@@ -41,7 +41,7 @@
 }
 
 impl Crashes {
-    /// Records that a server crashed at `at` while it ran a request with this content.
+    /// Records that a server crashed at `at` while it executed a request with this content.
     fn record_crash(&self, content: Fingerprint, server: Key, at: Instant) {
         log_changes(self.table.record_crash(content, server, at));
     }
--- a/crates/relay/src/crash/probe.rs
+++ b/crates/relay/src/crash/probe.rs
@@ -2,7 +2,7 @@
 //!
 //! A connection may break for many reasons, but a host answers that no process listens
 //! on a port for one reason only. So the box opens a new connection. If it is refused,
-//! the server has ended. If it is established, the server lives, and the connection is
+//! the server has ended. If it is established, the server is alive, and the connection is
 //! kept idle for the next request. If there is no response, nothing is known: the
 //! network in between may be partitioned.
 
@@ -28,7 +28,7 @@
     Duration::from_millis(100),
     Duration::from_millis(300),
 ];
-/// How long a new connection has to stay open to show that the server lives: a process
+/// How long a new connection has to stay open to show that the server is alive: a process
 /// that is ending may still accept one before its port closes.
 const STAY_OPEN_TIME: Duration = Duration::from_millis(50);
 /// Most contents listed in a log line.
--- a/crates/relay/src/crash/table.rs
+++ b/crates/relay/src/crash/table.rs
@@ -2,9 +2,9 @@
 //!
 //! Boxes report to each other what they observed. Each box knows the union of all
 //! reports, in whatever order they arrive and however often. A crash of a server that
-//! ran many requests blames none of them by itself: a content is refused once three
-//! servers have crashed under it, which would happen to an innocent request only by
-//! chance.
+//! was executing many requests blames none of them by itself: a content is refused once
+//! three servers have crashed under it, which would happen to an innocent request only
+//! by chance.
 //!
 //! Invariants:
 //!
@@ -48,7 +48,7 @@
 /// soon.
 const SAME_CRASH: Duration = Duration::from_millis(1_500);
 
-/// A server's crash while it ran a request with a content.
+/// A server's crash while it executed a request with a content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Crash {
     server: Key,
--- a/crates/relay/src/emptied_halls.rs
+++ b/crates/relay/src/emptied_halls.rs
@@ -1,4 +1,4 @@
-//! The halls that the operator asked to empty, each as of a revision of the store.
+//! The halls that the operator requested to empty, each as of a revision of the store.
 //!
 //! Boxes learn of them from the store and from each other, in any order.
 //!
@@ -38,7 +38,7 @@
 pub struct List {
     /// The halls.
     pub rows: Vec<Row>,
-    /// The revision of the store up to which no other hall was asked to be emptied.
+    /// The revision of the store as of which the list is complete.
     pub seen: Revision,
 }
 
@@ -97,7 +97,7 @@
 }
 
 impl EmptiedHalls {
-    /// Records an entry that asks to empty a hall. It is ignored where what is known
+    /// Records an entry that requests to empty a hall. It is ignored where what is known
     /// takes precedence.
     pub fn record_emptied(
         &self,
--- a/crates/relay/src/exchange/admission.rs
+++ b/crates/relay/src/exchange/admission.rs
@@ -126,7 +126,8 @@
 }
 
 /// The refusal for a catalog that is too old. With `Stale` another box may have a
-/// newer catalog; with `StoreBehind` none has, as the store went back to an older copy.
+/// newer catalog; with `StoreBehind` none has, as the store was restored from an older
+/// backup.
 fn stale_refusal(relay: &Relay) -> refusal::Kind {
     if relay.era_state.era().is_some() && relay.era_state.is_unsettled() {
         refusal::Kind::StoreBehind
--- a/crates/relay/src/exchange/retry.rs
+++ b/crates/relay/src/exchange/retry.rs
@@ -184,7 +184,7 @@
     }
 }
 
-/// Whether the machine is up but no process listens at the address.
+/// Whether the host is up but no process listens at the address.
 fn is_connection_refused(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::ConnectionRefused
 }
--- a/crates/relay/src/fleet/advertisement.rs
+++ b/crates/relay/src/fleet/advertisement.rs
@@ -111,7 +111,7 @@
     Gone,
     /// It is leaving.
     Leaving,
-    /// The operator asked to empty its hall.
+    /// The operator requested to empty its hall.
     Emptied,
     /// It requested a back-off of this box.
     BackingOff,
--- a/crates/relay/src/fleet/backend.rs
+++ b/crates/relay/src/fleet/backend.rs
@@ -235,7 +235,7 @@
     }
 
     /// Whether the server accepts new requests: it is not leaving, and the operator has
-    /// not asked to empty its hall.
+    /// not requested to empty its hall.
     pub fn accepts_requests(&self) -> bool {
         self.check_serving().is_ok()
     }
--- a/crates/relay/src/fleet/hall.rs
+++ b/crates/relay/src/fleet/hall.rs
@@ -24,7 +24,7 @@
     round_trip_ms: Cell<Option<f64>>,
     unresponsive_at: Cell<Option<Instant>>,
     last_received: Cell<Option<Instant>>,
-    /// Whether the operator asked to empty the hall.
+    /// Whether the operator requested to empty the hall.
     emptied: Cell<bool>,
     /// When the operator cancelled the emptying.
     cancelled_at: Cell<Option<Instant>>,
@@ -73,12 +73,12 @@
         !refuted && now.duration_since(unresponsive_at) < AVOID_TIME
     }
 
-    /// Whether the operator asked to empty the hall.
+    /// Whether the operator requested to empty the hall.
     pub fn is_emptied(&self) -> bool {
         self.emptied.get()
     }
 
-    /// Records whether the operator asked to empty the hall. Returns whether that
+    /// Records whether the operator requested to empty the hall. Returns whether that
     /// changed.
     pub fn set_emptied(&self, emptied: bool, now: Instant) -> bool {
         let is_new = self.emptied.replace(emptied) != emptied;
--- a/crates/relay/src/fleet/mod.rs
+++ b/crates/relay/src/fleet/mod.rs
@@ -128,7 +128,7 @@
 struct Group {
     /// Servers that accept new requests.
     serving: Rc<[Rc<Backend>]>,
-    /// Servers that would if the operator had not asked to empty their halls.
+    /// Servers that would if the operator had not requested to empty their halls.
     emptied: Rc<[Rc<Backend>]>,
     /// Number of servers that are leaving.
     leaving: usize,
@@ -309,7 +309,7 @@
         self.halls.borrow().keys().cloned().collect()
     }
 
-    /// Sets the halls that the operator asked to empty, as learned at `now`. From now on
+    /// Sets the halls that the operator requested to empty, as learned at `now`. From now on
     /// their servers get nothing new, and the idle connections to them are closed.
     /// Returns the halls for which this changed, with `true` for those to be emptied.
     pub fn set_emptied(
@@ -444,7 +444,7 @@
     }
 
     /// The servers of a service that would take requests if the operator had not
-    /// asked to empty their halls.
+    /// requested to empty their halls.
     pub fn emptied(&self, service: &ids::Service) -> Rc<[Rc<Backend>]> {
         self.group(service).emptied
     }
--- a/crates/relay/src/follow/boxes.rs
+++ b/crates/relay/src/follow/boxes.rs
@@ -3,7 +3,7 @@
 //!
 //! Invariants:
 //!
-//! * State that cannot be confirmed to be current is not passed on as current.
+//! * State that cannot be confirmed to be current is not sent to other boxes as current.
 //! * Information as of an older revision never replaces newer information, and nothing
 //!   of a stale era is applied but the configuration that was in force in it.
 
--- a/crates/relay/src/follow/catalog.rs
+++ b/crates/relay/src/follow/catalog.rs
@@ -61,9 +61,9 @@
 
     /// Reads all operator entries, which is one call. Where it is not known whether
     /// they are complete, first reads the mark that another box may have written when
-    /// it found them so. If a read is under way already, waits for its result instead.
+    /// it found them so. If a read is already in progress, waits for its result instead.
     pub(super) async fn read_operator(&self, limit: Duration) -> Result<Revision, Failure> {
-        while self.operator_read.is_under_way() {
+        while self.operator_read.is_in_progress() {
             if let Some(revision) = self.operator_read.wait().await {
                 return Ok(revision);
             }
--- a/crates/relay/src/follow/eras.rs
+++ b/crates/relay/src/follow/eras.rs
@@ -29,26 +29,26 @@
         view.catalog().map(|catalog| catalog.version)
     }
 
-    /// The hold on emptied halls: for a while after a restore of the store, the known
-    /// state of halls takes precedence over backup entries and missing ones. There is
-    /// no hold if this box's view was older than that at the restore: a hall that was
+    /// The precedence of known emptied halls: for the hold time after a restore of the
+    /// store, the known state of halls takes precedence over backup entries and missing
+    /// ones. It is `None` if this box's view was older than that at the restore: a hall that was
     /// emptied long ago, as far as this box knows, may be in use again. Kept empty by
-    /// several boxes, such a hall left the other servers crowded.
+    /// several boxes, such a hall overloaded the other servers.
     pub(super) fn hall_precedence(&self) -> Option<Precedence> {
         let hold_time = self.relay.bounds().rewrite_within;
         let era_state = &self.relay.era_state;
         era_state.recent_precedence(hold_time, Instant::now())
     }
 
-    /// The hold on rollout orders: for a while after a restore of the store, the known
-    /// orders take precedence over backup entries and missing ones.
+    /// The precedence of known rollout orders: for the hold time after a restore of the
+    /// store, the known orders take precedence over backup entries and missing ones.
     pub(super) fn rollout_precedence(&self) -> Option<Precedence> {
         let hold_time = self.relay.bounds().rewrite_within;
         self.relay.era_state.precedence(hold_time, Instant::now())
     }
 
-    /// The hold on server entries: what servers advertised before a restore takes
-    /// precedence over backup entries until an unresponsive server would have lost its
+    /// The precedence of known server entries: what servers advertised before a restore
+    /// takes precedence over backup entries until an unresponsive server would have lost its
     /// entry.
     pub(super) fn server_precedence(&self) -> Option<Precedence> {
         let hold_time = self.relay.bounds().entry_ttl;
@@ -143,8 +143,8 @@
     /// Waits until this box reads a store whose operator entries may be incomplete.
     pub async fn wait_until_unsettled(&self) {
         loop {
-            let heard = self.relay.era_state.era().is_some();
-            if heard && self.relay.era_state.is_unsettled() && self.reads_store.get() {
+            let observed = self.relay.era_state.era().is_some();
+            if observed && self.relay.era_state.is_unsettled() && self.reads_store.get() {
                 return;
             }
             self.era_changed.wait().or(self.role_changed.wait()).await;
--- a/crates/relay/src/follow/shared.rs
+++ b/crates/relay/src/follow/shared.rs
@@ -8,22 +8,22 @@
 
 use crate::notifier::Notifier;
 
-/// Whether a read is under way, and the result of the last one.
+/// Whether a read is in progress, and the result of the last one.
 #[derive(Default)]
 pub(super) struct Read {
-    under_way: Cell<bool>,
+    in_progress: Cell<bool>,
     found: Cell<Option<Revision>>,
     at: Cell<Option<Instant>>,
     ended: Notifier,
 }
 
 impl Read {
-    /// Whether a read is under way.
-    pub(super) fn is_under_way(&self) -> bool {
-        self.under_way.get()
+    /// Whether a read is in progress.
+    pub(super) fn is_in_progress(&self) -> bool {
+        self.in_progress.get()
     }
 
-    /// Waits for the end of the read under way; returns its result, or `None` if it
+    /// Waits for the end of the read in progress; returns its result, or `None` if it
     /// failed.
     pub(super) async fn wait(&self) -> Option<Revision> {
         self.ended.wait().await;
@@ -38,13 +38,13 @@
 
     /// Begins a read, which ends when the guard is dropped.
     pub(super) fn begin(&self) -> Guard<'_> {
-        self.under_way.set(true);
+        self.in_progress.set(true);
         self.found.set(None);
         Guard(self)
     }
 }
 
-/// A read that is under way.
+/// A read that is in progress.
 pub(super) struct Guard<'a>(&'a Read);
 
 impl Guard<'_> {
@@ -57,7 +57,7 @@
 
 impl Drop for Guard<'_> {
     fn drop(&mut self) {
-        self.0.under_way.set(false);
+        self.0.in_progress.set(false);
         self.0.ended.notify();
     }
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -3,8 +3,8 @@
 //! Clients send requests over HTTP/1.1, with opaque bodies; header fields describe the
 //! request. Each request is checked against the operator's catalog ([`exchange`]) and
 //! placed on a backend server ([`choose`]). The router then forwards it to that server
-//! ([`attempt`]) and passes the answer on (`exchange/stream`). Catalog and servers come
-//! from the platform's store ([`follow`]).
+//! ([`attempt`]) and forwards the answer to the client (`exchange/stream`). Catalog and
+//! servers come from the platform's store ([`follow`]).
 //!
 //! The process has one thread, whose tasks share [`relay::Relay`] and never block. All
 //! names and formats of the platform's protocol are defined in the `tidepier-platform`
--- a/crates/relay/src/locations.rs
+++ b/crates/relay/src/locations.rs
@@ -23,7 +23,7 @@
 /// each of these would prefill the subject again.
 const CACHED_BY_RANK: [f64; 3] = [0.93, 0.5, 0.25];
 /// The same when other servers are known to cache the subject: boxes that avoid a server
-/// over the load bound then agree on the next one before they hear of each other's choice.
+/// over the load bound then agree on the next one before they learn of each other's choice.
 const CACHED_BESIDE_HOLDERS: [f64; 3] = [0.5, 0.5, 0.25];
 /// Number of tokens below which copying a KV cache is not worth its set-up time.
 const COPY_TOKENS_MIN: u32 = 200;
@@ -149,7 +149,7 @@
     }
 
     /// The engine that is known to cache the most parts, if it has more than the first
-    /// `proven` ones and the remaining tokens are worth a copy.
+    /// `cached_parts` ones and the remaining tokens are worth a copy.
     fn largest_source(&self, server: Key, cached_parts: usize) -> Option<&Source> {
         if tokens(&self.prompt.shared()[cached_parts..]) < COPY_TOKENS_MIN {
             return None;
@@ -163,7 +163,7 @@
     /// if it is known to cache all parts, or if the rest is too small to copy.
     ///
     /// Where no engine is known to cache all parts, this may be the engine that should have
-    /// cached the subject so far, as a box of a large fleet hears of only a few placements.
+    /// cached the subject so far, as a box of a large fleet learns of only a few placements.
     /// Parts that this engine turns out not to cache are not copied. By the engines'
     /// counts, this reduced the tokens that 295 boxes before 240 engines caused to be
     /// prefilled again from 22.4 to 12.5 million in 41 s, and doubled the copied ones.
--- a/crates/relay/src/message/row.rs
+++ b/crates/relay/src/message/row.rs
@@ -69,7 +69,7 @@
 
     /// Whether this row does not contradict `known`, a row of the same server. Revisions
     /// and the remaining cold time may differ, and this row alone may say that the server
-    /// is leaving: a leaving server never takes that back, so it holds regardless of
+    /// is leaving: a leaving server never takes that back, so it applies regardless of
     /// which row is newer. If `known` says that the server is leaving, this row has to
     /// say so too.
     pub fn is_consistent_with(&self, known: &Self) -> bool {
--- a/crates/relay/src/peer/mod.rs
+++ b/crates/relay/src/peer/mod.rs
@@ -18,7 +18,7 @@
 //! A box that starts while the store is unreachable asks the seed boxes of its settings
 //! ([`seed`]).
 //!
-//! Invariant: a confirmation that is passed on never looks newer than it is. The
+//! Invariant: a confirmation that is sent to another box never looks newer than it is. The
 //! receiving box dates it, on its own clock, to the time at which it sent the request,
 //! less the age given in the answer.
 
--- a/crates/relay/src/peer/responder.rs
+++ b/crates/relay/src/peer/responder.rs
@@ -186,8 +186,8 @@
 }
 
 /// Whether this box can confirm that its data is current. A requesting box that does not
-/// know eras takes such a confirmation as proof that the configuration is the newest, so
-/// it gets one only when that is proven.
+/// know eras takes such a confirmation to mean that the configuration is the newest, so
+/// it gets one only when that is certain.
 fn is_confirmed(follower: &Follower, request: &Request) -> bool {
     let now = Instant::now();
     let knows_eras = request
--- a/crates/relay/src/refusal.rs
+++ b/crates/relay/src/refusal.rs
@@ -48,7 +48,7 @@
     /// All servers that could serve the request requested a back-off of this box; the
     /// duration is the retry delay.
     BackingOff(Duration),
-    /// The operator asked to empty the halls of all servers of the service.
+    /// The operator requested to empty the halls of all servers of the service.
     Emptied,
     /// No server is in a region that the request may not leave.
     NoRegion,
@@ -61,11 +61,11 @@
     ServersDown,
     /// The servers that could serve the request are full.
     Full,
-    /// The request's time ran out before a server ran it.
+    /// The request's time ran out before a server executed it.
     Expired,
-    /// The request's time ran out while a server may have been running it.
+    /// The request's time ran out while a server may have been executing it.
     Late,
-    /// A server may have run the request, and its answer is lost.
+    /// A server may have executed the request, and its answer is lost.
     Lost,
 }
 
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
     /// Time since the last confirmation of the catalog up to which a missing route or an
-    /// unknown key is proven not to exist: the time in which a change has to be in force.
+    /// unknown key is known not to exist: the time in which a change has to be in force.
     pub catalog_max_age: Duration,
     /// Time in which everything that the operator writes has to be in force. The catalog
     /// is confirmed at intervals of a fraction of it.
--- a/crates/relay/src/router.rs
+++ b/crates/relay/src/router.rs
@@ -340,7 +340,7 @@
     relay.stop.advance(Phase::Leaving);
     let limit = within.saturating_sub(STOP_MARGIN);
     let over = async {
-        // This clock also advances while the machine is suspended, as the
+        // This clock also advances while the box is suspended, as the
         // platform's time limit does.
         tidepier_clock::sleep(limit).await;
         log::warn!(
--- a/crates/relay/src/traffic/coverage.rs
+++ b/crates/relay/src/traffic/coverage.rs
@@ -1,7 +1,7 @@
-//! Measures how much of the fleet's placements a box hears of.
+//! Measures how much of the fleet's placements a box learns of.
 //!
 //! If no holder of a subject is known to this box, either the subject was never requested,
-//! or it was requested without this box hearing of it. Which of the two is more likely
+//! or it was requested without this box learning of it. Which of the two is more likely
 //! follows from two observed shares, at any number of boxes, requests and subjects: the
 //! share of all placements that is reported to this box, and the share of its own prompts
 //! whose subject had a known holder.
@@ -38,7 +38,7 @@
     }
 }
 
-/// How much one box hears of.
+/// How much of the placements one box learns of.
 #[derive(Debug, Default)]
 pub struct Coverage {
     /// Share of this box's prompts whose subject had a known holder.
--- a/crates/relay/src/traffic/index.rs
+++ b/crates/relay/src/traffic/index.rs
@@ -88,7 +88,7 @@
 pub struct Index {
     created: Instant,
     parts: RefCell<LruCache<u64, Vec<Holder>>>,
-    /// How much of the fleet's placements this box hears of.
+    /// How much of the fleet's placements this box learns of.
     pub coverage: Coverage,
 }
 
--- a/crates/relay/src/traffic/mod.rs
+++ b/crates/relay/src/traffic/mod.rs
@@ -6,8 +6,8 @@
 //! The exchanged data is up to a second old, may be lost, and is bounded in bytes. It
 //! improves placement decisions, and nothing depends on it.
 //!
-//! * [`index`]: which engines cache which parts; [`coverage`]: how much of that a box hears
-//!   of.
+//! * [`index`]: which engines cache which parts; [`coverage`]: how much of that a box
+//!   learns of.
 //! * [`log`]: placements to be reported.
 //! * [`tally`]: counts of requests in flight.
 
--- a/crates/relay/tests/platform/answer.rs
+++ b/crates/relay/tests/platform/answer.rs
@@ -140,7 +140,7 @@
     }
 }
 
-/// `Server-Leaving` is passed on, as the platform's documentation requires.
+/// `Server-Leaving` is forwarded, as the platform's documentation requires.
 const CLIENT_HEAD: &str = "HTTP/1.1 200 OK
 Attempt-Id: 1
 Response-Seal: abc
--- a/crates/relay/tests/relay/box_harness.rs
+++ b/crates/relay/tests/relay/box_harness.rs
@@ -39,7 +39,7 @@
 /// costs 3 s.
 const SETTLE_TIME: Duration = Duration::from_millis(8_000);
 /// More than the time between two freshness checks of a reader.
-pub(crate) const PROOF_TIME: Duration = Duration::from_millis(850);
+pub(crate) const FRESHNESS_CHECK_TIME: Duration = Duration::from_millis(850);
 /// Port at which all boxes listen for each other, each on an address of its own. Not
 /// among the ports that the system assigns.
 const PEER_PORT: u16 = 20_701;
@@ -392,7 +392,7 @@
 pub(crate) async fn wait_for_readers(test_boxes: &[TestBox], expected: &[usize]) -> Result {
     let start = Instant::now();
     loop {
-        let found = boxes_reading_store(test_boxes, PROOF_TIME).await;
+        let found = boxes_reading_store(test_boxes, FRESHNESS_CHECK_TIME).await;
         if found == expected {
             return Ok(());
         }
--- a/crates/relay/tests/relay/crash_harness.rs
+++ b/crates/relay/tests/relay/crash_harness.rs
@@ -18,7 +18,7 @@
 /// Crashes under a request from which it counts as their cause.
 pub(crate) const CRASHES: usize = 3;
 /// Time after the third crash from which all boxes know of it.
-pub(crate) const CONTACT_TIME: Duration = Duration::from_millis(3_000);
+pub(crate) const GRACE_PERIOD: Duration = Duration::from_millis(3_000);
 /// Time after which another server replaces one that crashed.
 const BACK_TIME: Duration = Duration::from_millis(700);
 /// Servers at the start.
@@ -102,7 +102,7 @@
         sent
     }
 
-    /// When servers crashed that ran a request with this body, in order.
+    /// When servers crashed that were executing a request with this body, in order.
     pub(crate) fn crashes(&self, body: &[u8]) -> Vec<std::time::Instant> {
         let all = self.all.borrow();
         let under = |server: &&Server| {
@@ -123,7 +123,7 @@
             return 0;
         };
         let sent = self.arrivals(body);
-        sent.iter().filter(|at| **at > third + CONTACT_TIME).count()
+        sent.iter().filter(|at| **at > third + GRACE_PERIOD).count()
     }
 }
 
--- a/crates/relay/tests/relay/crashing.rs
+++ b/crates/relay/tests/relay/crashing.rs
@@ -24,7 +24,7 @@
 
 use crate::box_harness::{self, site_with_keys, TestBox};
 use crate::crash_harness::{
-    fleet, request, send_repeatedly, with_replacements, Servers, CONTACT_TIME, CRASHES,
+    fleet, request, send_repeatedly, with_replacements, Servers, CRASHES, GRACE_PERIOD,
 };
 use crate::harness::{self, ensure_not_executed, ms, run, wait_until, Result};
 
@@ -123,7 +123,7 @@
         let (site, servers, test_boxes) = fleet(&executor, &[CRASHING]).await?;
         let test = async {
             send_repeatedly(&test_boxes, "/o/x", CRASHING, ms(1_500)).await?;
-            Timer::after(CONTACT_TIME).await;
+            Timer::after(GRACE_PERIOD).await;
             for test_box in &test_boxes {
                 let before = servers.arrivals(CRASHING).len();
                 let start = Instant::now();
@@ -160,7 +160,7 @@
             test_boxes[1].freeze(false);
             let late = TestBox::start(&executor, &site, "box-9", "hall-2", 3_000).await?;
             box_harness::wait_until_ready(std::slice::from_ref(&late)).await?;
-            Timer::after(CONTACT_TIME).await;
+            Timer::after(GRACE_PERIOD).await;
             let before = servers.arrivals(CRASHING).len();
             for test_box in test_boxes.iter().chain([&late]) {
                 let attempt = format!("late-{}", test_box.name);
--- a/crates/relay/tests/relay/emptied_halls.rs
+++ b/crates/relay/tests/relay/emptied_halls.rs
@@ -293,10 +293,10 @@
         wait_until("emptied", async || Ok(fleet.serving(&service).len() == 1)).await?;
         Timer::after(ms(900)).await;
         let lists = harness.site.store.calls("kv-range");
-        let proofs = harness.site.store.calls("kv-txn");
+        let checks = harness.site.store.calls("kv-txn");
         Timer::after(ms(2_500)).await;
         ensure!(harness.site.store.calls("kv-range") == lists, "read again");
-        let asked = harness.site.store.calls("kv-txn") - proofs;
+        let asked = harness.site.store.calls("kv-txn") - checks;
         ensure!(
             (2..=4).contains(&asked),
             "{asked} freshness checks in 2.5 s"
--- a/crates/relay/tests/relay/entries.rs
+++ b/crates/relay/tests/relay/entries.rs
@@ -21,7 +21,7 @@
 
 /// Time after the end of an outage from which a missing entry counts as deleted; the
 /// default of the settings.
-const CONTACT_TIME: Duration = Duration::from_millis(3_000);
+const GRACE_PERIOD: Duration = Duration::from_millis(3_000);
 /// Time in which running servers have written their entries again.
 const RETURN_TIME: Duration = Duration::from_millis(2_000);
 /// How late a test may notice an event.
@@ -69,7 +69,7 @@
             for test_box in &test_boxes {
                 dropped(test_box, &lost).await?;
             }
-            let most = CONTACT_TIME + NOTICE_TIME;
+            let most = GRACE_PERIOD + NOTICE_TIME;
             ensure!(back.elapsed() < most, "{:?}", back.elapsed());
             site.announce(&lost, State::Ready);
             for test_box in &test_boxes {
@@ -93,7 +93,7 @@
         Timer::after(ms(2_500)).await;
         site.store.faults(|faults| faults.down = None);
         wait_for_readers(&test_boxes, &[0]).await?;
-        Timer::after(CONTACT_TIME).await;
+        Timer::after(GRACE_PERIOD).await;
         // The store was reachable for long; the reader stops, and the other box takes
         // its place.
         drop(test_boxes.remove(0));
@@ -107,7 +107,7 @@
 
 #[test]
 fn the_grace_period_lasts_while_entries_return() {
-    let grace_period = CONTACT_TIME;
+    let grace_period = GRACE_PERIOD;
     let start = Instant::now();
     let at = |count| start + ms(count);
     let availability = Availability::default();
@@ -131,12 +131,12 @@
     // The call that was sent earlier is known to have failed after the later one.
     availability.record_failure(at(500));
     availability.record_failure(at(200));
-    availability.record_recovery(at(2_300), CONTACT_TIME);
+    availability.record_recovery(at(2_300), GRACE_PERIOD);
     assert!(!availability.is_authoritative(at(2_900)));
     assert!(availability.is_authoritative(at(3_001)));
     // A box that followed another one for long after its last failure.
     availability.record_failure(at(4_000));
-    availability.record_recovery(at(60_000), CONTACT_TIME);
+    availability.record_recovery(at(60_000), GRACE_PERIOD);
     assert!(availability.is_authoritative(at(60_000)));
 }
 
--- a/crates/relay/tests/relay/era_state.rs
+++ b/crates/relay/tests/relay/era_state.rs
@@ -133,7 +133,7 @@
 fn state_older_than_any_backup_has_no_precedence() -> Result {
     let now = Instant::now();
     let (before, within) = (known(60, 1, 43, 45), DELAYS.rewrite);
-    for (age, stands) in [
+    for (age, expected) in [
         (Some(ms(4_900)), true),
         (Some(ms(5_100)), false),
         (None, true),
@@ -142,7 +142,7 @@
         era_state.observe(revision(1, 10), Prior::default(), now);
         era_state.observe(revision(2, 39), Prior { age, ..before }, now);
         let precedence = era_state.recent_precedence(within, now + ms(100));
-        ensure!(precedence.is_some() == stands, "{age:?}: {precedence:?}");
+        ensure!(precedence.is_some() == expected, "{age:?}: {precedence:?}");
         ensure!(
             era_state.precedence(within, now + ms(100)).is_some(),
             "{age:?}"
@@ -164,9 +164,12 @@
     ensure!(!era_state.is_settled(), "settled by an earlier era");
     ensure!(era_state.settle(Evidence::Report) && !era_state.settle(Evidence::Same));
     let eras = Tracker::default();
-    let heard = [Some(Era(2)), None, Some(Era(1)), Some(Era(3)), Some(Era(2))];
-    let heard: Vec<bool> = heard.iter().map(|era| eras.observe(*era).is_ok()).collect();
-    ensure!(heard == [true, true, false, true, false], "{heard:?}");
+    let observed = [Some(Era(2)), None, Some(Era(1)), Some(Era(3)), Some(Era(2))];
+    let observed: Vec<bool> = observed
+        .iter()
+        .map(|era| eras.observe(*era).is_ok())
+        .collect();
+    ensure!(observed == [true, true, false, true, false], "{observed:?}");
     Ok(())
 }
 
--- a/crates/relay/tests/relay/faulty_readers.rs
+++ b/crates/relay/tests/relay/faulty_readers.rs
@@ -22,7 +22,7 @@
 
 use crate::box_harness::{
     address, boxes_reading_store, ensure_served, register, site_with_keys, start_boxes,
-    start_boxes_with_reader, wait_for_readers, TestBox, PROOF_TIME,
+    start_boxes_with_reader, wait_for_readers, TestBox, FRESHNESS_CHECK_TIME,
 };
 use crate::harness::{self, ms, run, server_settings, wait_until, Executor, Result, SERVICE};
 
@@ -119,7 +119,7 @@
     let _reader = start_faulty_reader(&executor, &site, answer)?;
     let boxes = start_boxes(&executor, &site, 2).await?;
     ensure_served(&boxes, &[&server], ms(1_500)).await?;
-    let found = boxes_reading_store(&boxes, PROOF_TIME).await;
+    let found = boxes_reading_store(&boxes, FRESHNESS_CHECK_TIME).await;
     ensure!(found.contains(&0), "read by {found:?}");
     Ok(())
 }
--- a/crates/relay/tests/relay/leaving.rs
+++ b/crates/relay/tests/relay/leaving.rs
@@ -285,12 +285,12 @@
 fn a_server_that_took_over_an_address_advertises_for_itself_alone() -> Result {
     let harness = ChoiceHarness::new("hall-1", [1, 2])?;
     let (asked, other): (ids::Server, ids::Server) = (id("i-1")?, id("i-9")?);
-    let taker = tidepier_core::server::Server {
+    let replacement = tidepier_core::server::Server {
         id: other.clone(),
         address: harness.backend(&asked)?.server.address,
         ..choice_harness::server(9, State::Ready)?
     };
-    harness.fleet.announce(taker, harness.start);
+    harness.fleet.announce(replacement, harness.start);
     let serves = |id: &ids::Server| -> Result<bool> { Ok(harness.backend(id)?.accepts_requests()) };
     let is_new_from = |status: u16, named: Option<&str>| -> Result<bool> {
         let answer = Answer {
--- a/crates/relay/tests/relay/peer_answers.rs
+++ b/crates/relay/tests/relay/peer_answers.rs
@@ -151,7 +151,7 @@
     deliver(&follower, confirmed_answer(10, 4, nothing()), None, asked)?;
     let age = relay.view.age_at(asked + ms(100));
     ensure!(age == Some(ms(110)), "{age:?}");
-    // It is passed on no younger than it is, and not at all once it is too old.
+    // It is sent on no younger than it is, and not at all once it is too old.
     ensure!(follower.shareable_age(asked + ms(100)) == age, "passed on");
     ensure!(
         follower.shareable_age(asked + APPLY_TIME).is_none(),
@@ -355,7 +355,7 @@
     apply(Servers::All(vec![row("i-1", 3)?], Revision::of(6)))?;
     let service = SERVICE.parse()?;
     ensure!(relay.fleet.serving(&service).is_empty(), "serves again");
-    // Nor is the older information passed on to other boxes.
+    // Nor is the older information sent to other boxes.
     let (all, _) = follower.history().since(Position::default());
     let expected = vec![row_of("i-1", 7, State::Draining)?];
     ensure!(
--- a/crates/relay/tests/relay/peers.rs
+++ b/crates/relay/tests/relay/peers.rs
@@ -15,7 +15,7 @@
 use crate::box_harness::{
     self, address, boxes_reading_store, ensure_served, register, site_with_keys, start_boxes,
     start_boxes_with_reader, wait_for_readers, wait_until_ready, with_key, Process, Proxy, TestBox,
-    APPLY_TIME, BOXES, LEAVE_TIME, PROOF_TIME, REVOKE_TIME,
+    APPLY_TIME, BOXES, FRESHNESS_CHECK_TIME, LEAVE_TIME, REVOKE_TIME,
 };
 use crate::harness::{
     ensure_not_executed, ensure_served_by, ms, post, run, server_settings, wait_until, Executor,
@@ -192,7 +192,7 @@
                 .iter()
                 .map(|test_box| test_box.store.request_bytes())
                 .sum();
-            ensure_served(&boxes, &[&server], PROOF_TIME).await?;
+            ensure_served(&boxes, &[&server], FRESHNESS_CHECK_TIME).await?;
             let now: u64 = boxes
                 .iter()
                 .map(|test_box| test_box.store.request_bytes())
@@ -262,7 +262,8 @@
     while lost.elapsed() < REVOKE_TIME + ms(300) {
         for test_box in boxes.iter().chain([&reader]) {
             let confirmed_at = test_box.confirmed_at();
-            let confirmed_at = confirmed_at.ok_or_else(|| eyre!("{}: no proof", test_box.name))?;
+            let confirmed_at =
+                confirmed_at.ok_or_else(|| eyre!("{}: never confirmed", test_box.name))?;
             ensure!(
                 confirmed_at <= lost,
                 "{}: {:?} too young",
@@ -325,7 +326,10 @@
                 }
                 Timer::after(ms(5)).await;
             }
-            ensure!(compared > 0 || delay > 200, "nobody asked the reader");
+            ensure!(
+                compared > 0 || delay > 200,
+                "nobody sent the reader a request"
+            );
         }
         // A delay beyond the time-outs of all answers but the first does no harm.
         link.delay(ms(700));
@@ -361,11 +365,11 @@
         tidepier_clock::sleep_until(cut + ms(2_900)).await;
         back.store.restore_link();
         ensure!(back.knows(&gone), "the one cut off dropped a server");
-        let (mut asked, mut heard) = (Vec::new(), 0);
-        while heard == 0 || cut.elapsed() < ms(6_600) {
+        let (mut asked, mut quiet_rounds) = (Vec::new(), 0);
+        while quiet_rounds == 0 || cut.elapsed() < ms(6_600) {
             ensure!(
                 cut.elapsed() < ms(14_000),
-                "the one that came back is not asked"
+                "the one that came back gets no requests"
             );
             for test_box in others {
                 ensure!(!test_box.knows(&gone), "{} knows it again", test_box.name);
@@ -379,7 +383,7 @@
             // No call to the store for longer than the interval of freshness checks.
             let then = asked.len().checked_sub(11);
             if then.is_some_and(|then| asked[then] == asked[asked.len() - 1]) {
-                heard += 1;
+                quiet_rounds += 1;
             }
         }
         ensure!(gone.runs().len() == before, "asked after it left");
--- a/crates/relay/tests/relay/recalled.rs
+++ b/crates/relay/tests/relay/recalled.rs
@@ -60,7 +60,7 @@
                 );
             }
         }
-        // Each engine was asked by one box: at the first start, and now.
+        // Each engine got a request from one box: at the first start, and now.
         let lists = list_counts(&engines);
         ensure!(lists.iter().all(|count| *count <= 2), "{lists:?}");
         // A box that starts now asks the other boxes.
--- a/crates/relay/tests/relay/restored_entries.rs
+++ b/crates/relay/tests/relay/restored_entries.rs
@@ -343,8 +343,8 @@
 }
 
 /// Guards against a hall that is never used again because the box was frozen from one
-/// restore until after the next one, and learns of the second while it ends the hold of
-/// the first.
+/// restore until after the next one, and learns of the second as the hold time
+/// of the first ends.
 #[test]
 fn a_hall_is_used_again_by_a_box_frozen_between_two_restores() -> Result {
     run(async |executor| {
--- a/crates/relay/tests/relay/seeds.rs
+++ b/crates/relay/tests/relay/seeds.rs
@@ -71,7 +71,7 @@
             ensure!(view(&test_box) == view(&other), "another version");
             ensure!(
                 test_box.confirmed_at() <= other.confirmed_at(),
-                "a proof too young"
+                "confirmed too recently"
             );
         }
         Ok(())
@@ -88,7 +88,7 @@
         wait_until("seeded", async || Ok(test_box.confirmed_at().is_some())).await?;
         while lost.elapsed() < REVOKE_TIME + ms(600) {
             let confirmed_at = test_box.confirmed_at();
-            let confirmed_at = confirmed_at.ok_or_else(|| eyre!("no proof"))?;
+            let confirmed_at = confirmed_at.ok_or_else(|| eyre!("never confirmed"))?;
             ensure!(confirmed_at <= lost, "{:?} too young", confirmed_at - lost);
             let attempt = format!("{:?}", lost.elapsed());
             let asked = Instant::now();
@@ -99,7 +99,7 @@
             }
             Timer::after(ms(20)).await;
         }
-        ensure!(!test_box.is_ready(), "ready by an old proof");
+        ensure!(!test_box.is_ready(), "ready by an old confirmation");
         // Requests on routes without keys are still served.
         ensure_served_by(&test_box.call(&post("/r/x", "on")).await?, &[&server], "on")?;
         set_down(&site, None);
--- a/crates/relay/tests/relay/slow.rs
+++ b/crates/relay/tests/relay/slow.rs
@@ -115,10 +115,10 @@
 
 fn working(server: &Server) -> usize {
     let runs = server.runs();
-    let under_way = runs
+    let in_flight = runs
         .iter()
         .filter(|run| matches!(run.outcome, Outcome::Running | Outcome::Waiting));
-    under_way.count()
+    in_flight.count()
 }
 
 #[test]
@@ -250,7 +250,7 @@
         ensure_served_by(&answer, &both, "long")?;
         ensure!(
             count_deliveries(&both, "long") == 1,
-            "{} sendings",
+            "{} attempts",
             count_deliveries(&both, "long")
         );
         Ok(())
--- a/crates/relay/tests/relay/suspended.rs
+++ b/crates/relay/tests/relay/suspended.rs
@@ -1,6 +1,6 @@
-//! A machine that is suspended for seconds and resumes.
+//! A box that is suspended for seconds and resumes.
 //!
-//! This was seen in no run, but the documentation of the platform says that machines are
+//! This was seen in no run, but the documentation of the platform says that boxes are
 //! suspended. Their monotonic clock does not count that time, so that a recent
 //! confirmation still looks recent afterwards: an API key that was removed meanwhile
 //! would be accepted for as long as the confirmation is valid.
@@ -67,8 +67,8 @@
     })
 }
 
-/// A request's time runs out while the machine is suspended: the client gets its answer
-/// as soon as the machine resumes, and not after the time that was left.
+/// A request's time runs out while the box is suspended: the client gets its answer
+/// as soon as the box resumes, and not after the time that was left.
 #[test]
 fn a_request_whose_time_was_over_meanwhile_is_answered_at_once() -> Result {
     run(async |executor| {
@@ -94,7 +94,7 @@
 }
 
 /// The platform kills a process some time after it requested its stop, and counts the
-/// time during which the machine is suspended.
+/// time during which the box is suspended.
 #[test]
 fn the_time_limit_of_a_stop_continues_meanwhile() -> Result {
     run(async |executor| {
