--- a/crates/placement/src/ask.rs
+++ b/crates/placement/src/ask.rs
@@ -1,4 +1,4 @@
-//! What is asked of a pool, and its answers.
+//! Requests for a place on an engine of a pool, and the pool's answers.
 
 use std::time::Duration;
 
@@ -10,29 +10,31 @@
 /// A request for a place on an engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Ask {
-    /// The box that asks, and its own number for the request.
+    /// The box that asks, and the number it gave the request.
     pub ticket: Ticket,
-    /// The account that pays.
+    /// The account that the request is charged to.
     pub account: ids::Account,
-    /// The account's weight.
+    /// The account's weight in the fair queue.
     pub share: u32,
     /// The account's priority.
     pub priority: Priority,
-    /// The hash of the chat's stable start, which other chats may share.
+    /// The hash of the unchanging start of the chat's prompt, which other chats
+    /// may share.
     pub prefix: ids::Prefix,
-    /// The hash that this chat alone keeps through all its turns.
+    /// A hash that is unique to this chat and the same in all its turns.
     pub chat: ids::Chat,
     /// Whether the chat has had a turn before.
     pub returning: bool,
-    /// The engine that served the chat last, if known.
+    /// The engine that last served the chat, if known.
     pub prefer: Option<ids::Engine>,
-    /// Engines that have just failed this request.
+    /// Engines on which this request has just failed.
     pub avoid: Vec<ids::Engine>,
-    /// Time that the request can still wait.
+    /// Longest time that the request can still wait.
     pub patience: Duration,
 }
 
-/// Names a request towards a keeper: a box and its own number.
+/// Identifies a request to a keeper: the box that asks and that box's number for
+/// the request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Ticket {
     /// The box that asks.
@@ -46,29 +48,29 @@
 pub struct Grant {
     /// The engine.
     pub engine: ids::Engine,
-    /// Names the place when it is given back.
+    /// Identifies the place when it is released.
     pub slot: ids::Slot,
 }
 
 /// The answer to an [`Ask`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
-    /// A place.
+    /// The request gets a place.
     Granted(Grant),
-    /// The request waits; a verdict follows from `Pool::release` or
-    /// `Pool::tick`.
+    /// The request waits. A later call of `Pool::release` or `Pool::tick` returns
+    /// its final verdict.
     Waits,
-    /// Final refusal.
+    /// The request is refused; this is final.
     Refused(Fault),
 }
 
 /// How a granted request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ended {
-    /// The engine served it, or the caller gave up.
+    /// The engine served it, or the client gave up.
     #[serde(rename = "o")]
     Served,
-    /// The engine could not be reached or broke off.
+    /// The engine was unreachable or broke off its answer.
     #[serde(rename = "f")]
     Failed,
 }
--- a/crates/placement/src/baseline.rs
+++ b/crates/placement/src/baseline.rs
@@ -1,5 +1,5 @@
-//! Baselines that a router decides by itself, without a keeper and without a
-//! bound: what `tidepier` is measured against.
+//! Baseline policies, which `tidepier` is compared with. A router applies them
+//! by itself, without a keeper and without a bound on load.
 
 use rand::seq::IndexedRandom;
 use tidepier_config::document::Policy;
@@ -7,7 +7,7 @@
 
 use crate::order::by_rendezvous;
 
-/// An engine with the requests that this router has open on it.
+/// An engine with the number of requests that this router has open on it.
 #[derive(Debug, Clone)]
 pub struct Candidate {
     /// The engine.
@@ -16,15 +16,15 @@
     pub open: u32,
 }
 
-/// Chooses by a baseline; `None` without candidates, or for
-/// [`Policy::Tidepier`], which is no baseline.
+/// Chooses an engine by a baseline policy. `None` if there are no candidates,
+/// or for [`Policy::Tidepier`], which is not a baseline.
 pub fn choose(policy: Policy, prefix: ids::Prefix, among: &[Candidate]) -> Option<ids::Engine> {
     match policy {
         Policy::Tidepier => None,
         Policy::Random => among
             .choose(&mut rand::rng())
             .map(|found| found.engine.clone()),
-        Policy::LeastLoaded => least(among),
+        Policy::LeastLoaded => least_loaded(among),
         Policy::Hash => {
             let names = among.iter().map(|candidate| candidate.engine.clone());
             by_rendezvous(prefix.0, names).into_iter().next()
@@ -32,8 +32,9 @@
     }
 }
 
-/// One of those with the fewest; the first would get all of a quiet fleet.
-fn least(among: &[Candidate]) -> Option<ids::Engine> {
+/// A random one of the candidates with the fewest open requests. Always taking
+/// the first would send all requests of a lightly loaded fleet to one engine.
+fn least_loaded(among: &[Candidate]) -> Option<ids::Engine> {
     let fewest = among.iter().map(|candidate| candidate.open).min()?;
     let all: Vec<_> = among
         .iter()
--- a/crates/placement/src/order.rs
+++ b/crates/placement/src/order.rs
@@ -1,6 +1,6 @@
 //! Rendezvous order (Thaler and Ravishankar 1998): every box computes the same
-//! order of candidates for a key, and a candidate that comes or goes moves
-//! only its own share of the keys.
+//! order of candidates for a key, and adding or removing a candidate moves only
+//! that candidate's share of the keys.
 
 use std::fmt::Display;
 
--- a/crates/placement/src/queue.rs
+++ b/crates/placement/src/queue.rs
@@ -1,4 +1,5 @@
-//! Requests that wait before a pool, served by weighted fair share.
+//! The queue of requests that wait for an engine of a pool, served by weighted
+//! fair queueing.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -7,13 +8,15 @@
 use tidepier_config::document::Priority;
 use tidepier_ids as ids;
 
-/// How much sooner a priority is served than the one below it.
+/// The weight of a priority, relative to the priority below it.
 const PRIORITY_STEP: f64 = 4.0;
 
-/// Time that a lane is remembered after it last asked.
-const REMEMBERED: Duration = Duration::from_secs(10);
+/// Time that a lane without open or waiting requests is kept after its last
+/// request.
+const LANE_RETENTION: Duration = Duration::from_secs(10);
 
-/// Accounts of one priority share a queue each.
+/// The requests of one account at one priority, which wait in a queue of their
+/// own.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct Lane {
     pub(crate) priority: Priority,
@@ -21,94 +24,96 @@
 }
 
 #[derive(Debug)]
-struct Line<T> {
+struct State<T> {
     waiting: VecDeque<T>,
     open: u32,
     share: u32,
-    /// When it last asked for anything.
-    last: Instant,
+    /// When a request or a grant of this lane was last recorded.
+    last_used: Instant,
 }
 
 /// The queues of a pool.
 #[derive(Debug)]
 pub(crate) struct Queue<T> {
-    lines: BTreeMap<Lane, Line<T>>,
+    lanes: BTreeMap<Lane, State<T>>,
     waiting: usize,
 }
 
 impl<T> Queue<T> {
     pub(crate) fn new() -> Self {
         Self {
-            lines: BTreeMap::new(),
+            lanes: BTreeMap::new(),
             waiting: 0,
         }
     }
 
-    /// Requests that wait, in all.
+    /// Waiting requests of all lanes.
     pub(crate) fn len(&self) -> usize {
         self.waiting
     }
 
-    /// Requests of `lane` that wait.
+    /// Waiting requests of `lane`.
     pub(crate) fn waiting(&self, lane: &Lane) -> usize {
-        self.lines.get(lane).map_or(0, |line| line.waiting.len())
+        self.lanes.get(lane).map_or(0, |state| state.waiting.len())
     }
 
-    /// The part of the pool that `lane` gets while the present lanes compete.
+    /// The fraction of the pool that `lane` gets while all known lanes compete
+    /// for it.
     pub(crate) fn portion(&self, lane: &Lane, share: u32) -> f64 {
         let mine = weight(lane.priority, share);
-        let rest = self.lines.iter().filter(|(other, _)| *other != lane);
+        let rest = self.lanes.iter().filter(|(other, _)| *other != lane);
         let rest: f64 = rest
-            .map(|(other, line)| weight(other.priority, line.share))
+            .map(|(other, state)| weight(other.priority, state.share))
             .sum();
         mine / (mine + rest)
     }
 
-    /// Grants of `lane` that are open.
-    pub(crate) fn opened(&self, lane: &Lane) -> u32 {
-        self.lines.get(lane).map_or(0, |line| line.open)
+    /// Open grants of `lane`.
+    pub(crate) fn open_grants(&self, lane: &Lane) -> u32 {
+        self.lanes.get(lane).map_or(0, |state| state.open)
     }
 
     pub(crate) fn push(&mut self, lane: &Lane, share: u32, now: Instant, item: T) {
-        self.line(lane, share, now).waiting.push_back(item);
+        self.state_mut(lane, share, now).waiting.push_back(item);
         self.waiting += 1;
     }
 
-    /// Puts back what was just taken.
+    /// Puts an item that [`Self::pop`] has just returned back at the front.
     pub(crate) fn push_front(&mut self, lane: &Lane, share: u32, now: Instant, item: T) {
-        self.line(lane, share, now).waiting.push_front(item);
+        self.state_mut(lane, share, now).waiting.push_front(item);
         self.waiting += 1;
     }
 
     /// Counts a grant of `lane` as open.
-    pub(crate) fn open(&mut self, lane: &Lane, share: u32, now: Instant) {
-        self.line(lane, share, now).open += 1;
+    pub(crate) fn record_grant(&mut self, lane: &Lane, share: u32, now: Instant) {
+        self.state_mut(lane, share, now).open += 1;
     }
 
     /// Counts a grant of `lane` as ended.
-    pub(crate) fn close(&mut self, lane: &Lane) {
-        let Some(line) = self.lines.get_mut(lane) else {
+    pub(crate) fn record_end(&mut self, lane: &Lane) {
+        let Some(state) = self.lanes.get_mut(lane) else {
             return;
         };
-        line.open = line.open.saturating_sub(1);
+        state.open = state.open.saturating_sub(1);
     }
 
-    /// Forgets lanes that have asked for nothing for a while. Until then they
-    /// count when shares are worked out, so that a quiet account finds room.
+    /// Drops lanes that have been unused for [`LANE_RETENTION`]. Until then they
+    /// count when portions are computed, so that an account that sends requests
+    /// only now and then finds room at once.
     pub(crate) fn expire(&mut self, now: Instant) {
-        self.lines.retain(|_, line| {
-            let used = line.open > 0 || !line.waiting.is_empty();
-            used || now.saturating_duration_since(line.last) < REMEMBERED
+        self.lanes.retain(|_, state| {
+            let used = state.open > 0 || !state.waiting.is_empty();
+            used || now.saturating_duration_since(state.last_used) < LANE_RETENTION
         });
     }
 
-    /// Takes the next request: of the lane with the fewest open grants for its
-    /// weight.
+    /// Removes and returns the next request: one of the lane with the fewest open
+    /// grants relative to its weight.
     pub(crate) fn pop(&mut self) -> Option<T> {
         let full = self
-            .lines
+            .lanes
             .iter_mut()
-            .filter(|(_, line)| !line.waiting.is_empty());
+            .filter(|(_, state)| !state.waiting.is_empty());
         let next = full.min_by(|(a, left), (b, right)| {
             let left = f64::from(left.open + 1) / weight(a.priority, left.share);
             let right = f64::from(right.open + 1) / weight(b.priority, right.share);
@@ -119,28 +124,28 @@
         item
     }
 
-    /// Takes out every waiting request that `leaves` holds for.
-    pub(crate) fn remove(&mut self, leaves: impl Fn(&T) -> bool) -> Vec<T> {
+    /// Removes and returns every waiting request for which `is_removed` is true.
+    pub(crate) fn remove(&mut self, is_removed: impl Fn(&T) -> bool) -> Vec<T> {
         let mut out = Vec::new();
-        for line in self.lines.values_mut() {
-            let (gone, stay): (Vec<_>, Vec<_>) = line.waiting.drain(..).partition(&leaves);
-            line.waiting = stay.into();
+        for state in self.lanes.values_mut() {
+            let (gone, stay): (Vec<_>, Vec<_>) = state.waiting.drain(..).partition(&is_removed);
+            state.waiting = stay.into();
             out.extend(gone);
         }
         self.waiting -= out.len();
         out
     }
 
-    fn line(&mut self, lane: &Lane, share: u32, now: Instant) -> &mut Line<T> {
-        let line = self.lines.entry(lane.clone()).or_insert_with(|| Line {
+    fn state_mut(&mut self, lane: &Lane, share: u32, now: Instant) -> &mut State<T> {
+        let state = self.lanes.entry(lane.clone()).or_insert_with(|| State {
             waiting: VecDeque::new(),
             open: 0,
             share,
-            last: now,
+            last_used: now,
         });
-        line.share = share;
-        line.last = now;
-        line
+        state.share = share;
+        state.last_used = now;
+        state
     }
 }
 
--- a/tests/all/placement.rs
+++ b/tests/all/placement.rs
@@ -1,4 +1,4 @@
-//! The promises of placement, one by one.
+//! Tests of the guarantees of placement: one test for each.
 
 use std::time::Duration;
 
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_returning_chat_meets_the_same_engine() {
+fn a_returning_chat_is_granted_the_same_engine() {
     let (mut pool, now) = pool_of(load(), ENGINES);
     let mut first = None;
     for number in 0..20 {
@@ -67,9 +67,10 @@
 }
 
 #[test]
-fn a_displaced_chat_returns_to_where_it_was_served() {
+fn a_displaced_chat_returns_to_the_engine_that_served_it() {
     let (mut pool, now) = pool_of(load(), ENGINES);
-    // Chats that share a document: only the first fits on its first engine.
+    // The chats share a prefix and so have the same first engine, which has room
+    // for the first of them only.
     let chat = |number: u64, returning: bool| Ask {
         chat: ids::Chat(number as u32),
         returning,
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn a_late_report_is_not_taken_for_foreign_load() {
+fn a_late_report_is_not_counted_as_foreign_load() {
     let (mut pool, now) = pool_of(load(), 2);
     let mut held = Vec::new();
     for number in 0..6 {
@@ -130,7 +131,7 @@
 }
 
 #[test]
-fn an_engine_that_goes_moves_only_its_own_chats() {
+fn removing_an_engine_moves_only_its_own_chats() {
     let names = || (0..10).map(engine);
     for key in 0..1000 {
         let all = by_rendezvous(key, names());
@@ -142,7 +143,7 @@
 }
 
 #[test]
-fn a_quiet_account_goes_before_one_that_has_its_share() {
+fn a_quiet_account_is_served_before_one_that_has_its_share() {
     let (mut pool, now) = pool_of(load(), 2);
     let mut held = Vec::new();
     for number in 0..40 {
@@ -188,7 +189,7 @@
 }
 
 #[test]
-fn an_engine_that_is_down_for_long_is_not_damped_for_it() {
+fn failures_of_an_ejected_engine_do_not_extend_its_ejection() {
     let (mut pool, now) = pool_of(load(), 2);
     pool.fail(&engine(0), now);
     let until = pool.engines()[&engine(0)].ejected.unwrap();
@@ -201,7 +202,7 @@
 }
 
 #[test]
-fn without_any_engine_a_request_waits_for_a_short_while_only() {
+fn without_a_usable_engine_a_request_waits_only_briefly() {
     let (mut pool, now) = pool_of(load(), 1);
     pool.fail(&engine(0), now);
     assert_eq!(pool.ask(ask(1, "a", 1), now), Verdict::Waits);
@@ -214,7 +215,7 @@
 }
 
 #[test]
-fn a_refusal_comes_at_once_and_says_when_to_come_back() {
+fn a_refusal_comes_at_once_with_a_retry_delay() {
     let mut small = load();
     small.queue = 2;
     let (mut pool, now) = pool_of(small, 1);
@@ -251,7 +252,7 @@
 }
 
 #[test]
-fn a_low_priority_is_not_refused_for_a_queue_that_soon_ends() {
+fn a_low_priority_is_not_refused_if_the_queue_empties_in_time() {
     let (mut pool, now) = pool_of(load(), 1);
     for number in 0..40 {
         let mut first = ask(number, "person", number);
@@ -259,7 +260,8 @@
         first.share = 4;
         pool.ask(first, now);
     }
-    // 32 wait, served 8 a second; a sixty-fourth of that would take 9 s.
+    // 32 requests wait and 8 are served per second, so the queue is empty after
+    // 4 s. By its share of the pool, a 64th, the batch request would wait 9 s.
     let mut batch = ask(100, "batch", 7);
     batch.priority = Priority::Batch;
     batch.patience = Duration::from_secs(6);
@@ -267,7 +269,7 @@
 }
 
 #[test]
-fn a_flapping_engine_is_left_alone_for_longer_each_time() {
+fn a_flapping_engine_is_ejected_for_longer_each_time() {
     let (mut pool, mut now) = pool_of(load(), 2);
     let mut spans = Vec::new();
     for _ in 0..4 {
@@ -292,7 +294,7 @@
 }
 
 #[test]
-fn whoever_waits_before_a_pool_that_ends_is_told() {
+fn waiting_requests_of_a_dissolved_pool_are_refused() {
     let (mut pool, now) = pool_of(load(), 1);
     let mut waiting = Vec::new();
     for number in 0..12 {
@@ -312,7 +314,7 @@
 }
 
 #[test]
-fn whoever_waits_through_a_box_taken_for_gone_is_told() {
+fn waiting_requests_of_a_box_presumed_dead_are_refused() {
     let gone: ids::Box = "box-1".parse().unwrap();
     for reconnected in [false, true] {
         let (mut pool, now) = pool_of(load(), 1);
@@ -342,7 +344,7 @@
 }
 
 #[test]
-fn adopted_places_count_towards_the_bound() {
+fn adopted_grants_count_towards_the_bound() {
     let (mut pool, now) = pool_of(load(), 2);
     for number in 0..8 {
         pool.adopt(&ask(number, "a", 0), &engine(0), now);
