--- a/crates/claims/src/entry.rs
+++ b/crates/claims/src/entry.rs
@@ -1,4 +1,4 @@
-//! One claim.
+//! A claim, its key and its holder.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
 use sha2::{Digest, Sha256};
 use tidepier_ids as ids;
 
-/// Bytes of a key.
+/// Length of a key.
 const KEY_BYTES: usize = 16;
 
 /// The hash of an account, a target and an idempotency key.
@@ -26,8 +26,8 @@
         Self(hash.finalize()[..KEY_BYTES].to_vec())
     }
 
-    /// A key from the bytes of a frame; `None` if there are not as many as a
-    /// key has.
+    /// A key from the bytes of a frame; `None` if their number is not that of a
+    /// key.
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         (bytes.len() == KEY_BYTES).then(|| Self(bytes.to_vec()))
     }
@@ -37,7 +37,7 @@
         &self.0
     }
 
-    /// The page that holds this key, out of `pages`.
+    /// The number of the page that holds this key, among `pages` pages.
     pub fn page(&self, pages: u32) -> u32 {
         let start = self.0.first_chunk::<4>().copied().unwrap_or_default();
         u32::from_be_bytes(start) % pages
@@ -56,7 +56,7 @@
     }
 }
 
-/// Who holds a claim.
+/// The holder of a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claimant {
     /// The box that may send the request.
@@ -65,24 +65,25 @@
     /// Its incarnation.
     #[serde(rename = "i")]
     pub incarnation: ids::Incarnation,
-    /// The request, random and never used twice.
+    /// The request's id, which is random and never used twice.
     #[serde(rename = "r")]
     pub request: ids::Request,
 }
 
-/// One claim as a page holds it.
+/// A claim as it is stored in a page.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// The key.
     #[serde(rename = "k")]
     pub key: Key,
-    /// Who holds it.
+    /// Its holder.
     #[serde(rename = "c")]
     pub claimant: Claimant,
-    /// The digest of the request's body, to tell a reused key.
+    /// The digest of the request's body, to detect an idempotency key that is
+    /// reused for another request.
     #[serde(rename = "d")]
     pub body: ids::Digest,
-    /// When it was claimed, seconds since the Unix epoch.
+    /// When it was claimed, in seconds since the Unix epoch.
     #[serde(rename = "t")]
     pub at: u64,
 }
--- a/crates/claims/src/page.rs
+++ b/crates/claims/src/page.rs
@@ -1,5 +1,5 @@
-//! One page: a head that is compared and swapped, and segments that never
-//! change.
+//! One page of claims: a head, which is changed by compare-and-swap and holds the
+//! newest claims, and segments with older claims, which never change.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -11,17 +11,19 @@
 
 use crate::entry::{Claimant, Entry, Key};
 
-/// Claims in a head before they are moved to a segment. A head of this size is
-/// about 32 KiB, so that a write stays small beside the store's megabyte.
-const HEAD_CLAIMS: usize = 512;
-/// Lost races for a head before a claim is given up.
-const TRIES: u32 = 8;
+/// Most claims in a head before they are moved to a segment. A head of this size
+/// takes about 32 KiB, so that a write stays far below the store's limit of a
+/// megabyte.
+const HEAD_CLAIMS_MAX: usize = 512;
+/// Attempts to write the head, before a claim that meets conflicting or
+/// unanswered writes each time is given up.
+const ATTEMPTS_MAX: u32 = 8;
 
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 struct Segment {
     #[serde(rename = "n")]
     number: u64,
-    /// Time of its newest claim, seconds since the Unix epoch.
+    /// Time of its newest claim, in seconds since the Unix epoch.
     #[serde(rename = "t")]
     newest: u64,
 }
@@ -36,158 +38,170 @@
     next: u64,
 }
 
-/// How a claim ended.
+/// The outcome of a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Verdict {
     /// The claimant holds the key.
     Held,
-    /// Another request holds it.
+    /// Another request holds the key, by this claim.
     Earlier(Entry),
-    /// It could not be recorded. It may be on the page all the same.
+    /// The claim could not be confirmed. It may have been recorded nevertheless.
     Failed(String),
 }
 
 /// A claim to be recorded.
 #[derive(Debug, Clone)]
-pub(crate) struct Wish {
+pub(crate) struct Request {
     pub(crate) entry: Entry,
-    /// A claim that its holder has given up without sending; replaced.
-    pub(crate) over: Option<ids::Request>,
+    /// The request of an earlier claim, which its holder has given up without
+    /// sending the request. This claim replaces that one.
+    pub(crate) supersedes: Option<ids::Request>,
 }
 
-/// A page as one box knows it.
+/// A page, with what this box has read of it.
 pub struct Page<S> {
     store: S,
-    /// Longest time for a call to the store.
-    limit: Duration,
+    /// Time-out of a call to the store.
+    timeout: Duration,
     key: String,
-    kept: Duration,
+    retention: Duration,
     revision: Revision,
     head: Head,
-    known: bool,
+    /// Whether head and segments are known as of `revision`.
+    is_read: bool,
     /// The keys of each segment.
     segments: BTreeMap<u64, Vec<Key>>,
     /// The claims of all segments, by key.
-    old: HashMap<Key, Entry>,
+    archived: HashMap<Key, Entry>,
 }
 
 impl<S: Store> Page<S> {
-    /// The page at `key`; nothing is read yet. Claims are kept for `kept`, and
-    /// a call to `store` takes at most `limit`.
-    pub fn new(store: S, limit: Duration, key: String, kept: Duration) -> Self {
+    /// The page at `key`; nothing is read yet. Claims are kept for `retention`,
+    /// and a call to `store` takes at most `timeout`.
+    pub fn new(store: S, timeout: Duration, key: String, retention: Duration) -> Self {
         Self {
             store,
-            limit,
+            timeout,
             key,
-            kept,
+            retention,
             revision: Revision::default(),
             head: Head::default(),
-            known: false,
+            is_read: false,
             segments: BTreeMap::new(),
-            old: HashMap::new(),
+            archived: HashMap::new(),
         }
     }
 
-    /// Records `wishes` together; the verdicts are in their order.
-    pub(crate) async fn claim(&mut self, wishes: &[Wish]) -> Vec<Verdict> {
-        let mut why = String::from("too many lost races");
-        for _ in 0..TRIES {
-            if !self.known {
+    /// Records `requests` in one write. The verdicts are in their order.
+    pub(crate) async fn claim(&mut self, requests: &[Request]) -> Vec<Verdict> {
+        let mut why = String::from("too many conflicting writes of the claim page");
+        for _ in 0..ATTEMPTS_MAX {
+            if !self.is_read {
                 if let Err(error) = self.read().await {
                     why = error;
                     break;
                 }
             }
-            let (next, fresh) = self.with(wishes);
-            if !fresh {
-                return self.verdicts(wishes);
+            let (next, changed) = self.head_with(requests);
+            if !changed {
+                return self.verdicts(requests);
             }
             match self.write(next).await {
-                Ok(Swap::Done(_)) => return self.verdicts(wishes),
+                Ok(Swap::Done(_)) => return self.verdicts(requests),
                 // A page is bound to no lease.
                 Ok(Swap::Conflict(_) | Swap::LeaseExpired | Swap::EraChanged) => {
                     metrics::counter!("tidepier_claim_conflicts_total").increment(1);
-                    self.known = false;
+                    self.is_read = false;
                 }
                 Err(failure) => {
                     metrics::counter!("tidepier_claim_replies_lost_total").increment(1);
                     why = fault(failure).to_string();
-                    self.known = false;
+                    self.is_read = false;
                 }
             }
         }
-        self.known = false;
-        wishes
+        self.is_read = false;
+        requests
             .iter()
             .map(|_| Verdict::Failed(why.clone()))
             .collect()
     }
 
-    /// The claimant of a key on the page as last read.
-    fn find(&self, wish: &Wish) -> Option<&Entry> {
-        let key = &wish.entry.key;
+    /// The claim on a request's key, on the page as last read or written.
+    fn find(&self, request: &Request) -> Option<&Entry> {
+        let key = &request.entry.key;
         let in_head = self
             .head
             .entries
             .iter()
             .rev()
             .find(|entry| entry.key == *key);
-        in_head.or_else(|| self.old.get(key))
+        in_head.or_else(|| self.archived.get(key))
     }
 
-    fn learn(&mut self, number: u64, entries: Vec<Entry>) {
+    /// Adds the claims of a segment to those known.
+    fn add_segment(&mut self, number: u64, entries: Vec<Entry>) {
         let keys = entries.iter().map(|entry| entry.key.clone()).collect();
         self.segments.insert(number, keys);
-        // A claim that was replaced stands in two segments; the later one counts.
-        self.old
+        // Of a key whose claim was replaced, two segments may hold a claim; that
+        // of the later segment counts.
+        self.archived
             .extend(entries.into_iter().map(|entry| (entry.key.clone(), entry)));
     }
 
-    /// Forgets all segments but those that `stays` holds for.
-    fn forget(&mut self, stays: impl Fn(u64) -> bool) {
-        let gone: Vec<u64> = self
+    /// Drops the known claims of all segments but those for which `stays` is true.
+    fn retain_segments(&mut self, stays: impl Fn(u64) -> bool) {
+        let dropped: Vec<u64> = self
             .segments
             .keys()
             .copied()
             .filter(|n| !stays(*n))
             .collect();
-        for number in gone {
+        for number in dropped {
             for key in self.segments.remove(&number).unwrap_or_default() {
-                self.old.remove(&key);
+                self.archived.remove(&key);
             }
         }
     }
 
-    fn verdicts(&self, wishes: &[Wish]) -> Vec<Verdict> {
-        let verdict = |wish: &Wish| match self.find(wish) {
-            Some(found) if found.claimant.request == wish.entry.claimant.request => Verdict::Held,
+    fn verdicts(&self, requests: &[Request]) -> Vec<Verdict> {
+        let verdict = |request: &Request| match self.find(request) {
+            Some(found) if found.claimant.request == request.entry.claimant.request => {
+                Verdict::Held
+            }
             Some(found) => Verdict::Earlier(found.clone()),
             None => Verdict::Failed("the claim is not on its page".into()),
         };
-        wishes.iter().map(verdict).collect()
+        requests.iter().map(verdict).collect()
     }
 
-    /// The head with the wishes that are free, and whether there were any.
-    fn with(&self, wishes: &[Wish]) -> (Head, bool) {
+    /// The head with claims added for those requests whose key is free or whose
+    /// earlier claim they supersede, and whether there are any.
+    fn head_with(&self, requests: &[Request]) -> (Head, bool) {
         let mut head = self.head.clone();
-        let mut fresh = false;
-        for wish in wishes {
-            let taken = head.entries.iter().any(|entry| entry.key == wish.entry.key);
-            let found = self.find(wish).map(|entry| entry.claimant.request);
-            let replaced = found.is_some() && found == wish.over;
+        let mut changed = false;
+        for request in requests {
+            let taken = head
+                .entries
+                .iter()
+                .any(|entry| entry.key == request.entry.key);
+            let found = self.find(request).map(|entry| entry.claimant.request);
+            let replaced = found.is_some() && found == request.supersedes;
             if replaced {
-                head.entries.retain(|entry| entry.key != wish.entry.key);
+                head.entries.retain(|entry| entry.key != request.entry.key);
             }
             if replaced || (found.is_none() && !taken) {
-                head.entries.push(wish.entry.clone());
-                fresh = true;
+                head.entries.push(request.entry.clone());
+                changed = true;
             }
         }
-        (head, fresh)
+        (head, changed)
     }
 
+    /// Writes the head. In the same write, a full head's claims move to a segment
+    /// and expired segments are deleted.
     async fn write(&mut self, mut head: Head) -> Result<Swap, Failure> {
-        let dropped = self.drop_old(&mut head);
+        let dropped = self.drop_expired(&mut head);
         let rolled = roll(&mut head);
         let value = encode(&head);
         let rolled_value = rolled.as_ref().map(|(_, entries)| encode(entries));
@@ -199,20 +213,25 @@
         }
         let remove: Vec<&str> = dropped_keys.iter().map(String::as_str).collect();
         let known = [(self.key.as_str(), self.revision)];
-        let swap = self.store.swap(&known, &writes, &remove, self.limit).await;
+        let swap = self
+            .store
+            .swap(&known, &writes, &remove, self.timeout)
+            .await;
         if let Ok(Swap::Done(revision)) = swap {
             self.revision = revision;
             self.head = head;
-            self.forget(|number| !dropped.contains(&number));
+            self.retain_segments(|number| !dropped.contains(&number));
             if let Some((number, entries)) = rolled {
-                self.learn(number, entries);
+                self.add_segment(number, entries);
             }
         }
         swap
     }
 
-    fn drop_old(&self, head: &mut Head) -> Vec<u64> {
-        let oldest = now_seconds().saturating_sub(self.kept.as_secs());
+    /// Removes the segments from `head` whose claims have all passed their
+    /// retention time, and returns their numbers.
+    fn drop_expired(&self, head: &mut Head) -> Vec<u64> {
+        let oldest = now_seconds().saturating_sub(self.retention.as_secs());
         let (old, kept): (Vec<_>, Vec<_>) = head
             .segments
             .drain(..)
@@ -221,6 +240,7 @@
         old.into_iter().map(|segment| segment.number).collect()
     }
 
+    /// Reads the head, and the segments that are not known yet.
     async fn read(&mut self) -> Result<(), String> {
         let found = self.get(&self.key).await?;
         let (head, revision) = match found {
@@ -234,18 +254,18 @@
             let key = self.segment_key(segment.number);
             let found = self.get(&key).await?;
             let found = found.ok_or_else(|| format!("segment {key} is missing"))?;
-            self.learn(segment.number, decode(&found.value)?);
+            self.add_segment(segment.number, decode(&found.value)?);
         }
         let listed: HashSet<u64> = head.segments.iter().map(|segment| segment.number).collect();
-        self.forget(|number| listed.contains(&number));
+        self.retain_segments(|number| listed.contains(&number));
         self.head = head;
         self.revision = revision;
-        self.known = true;
+        self.is_read = true;
         Ok(())
     }
 
     async fn get(&self, key: &str) -> Result<Option<Item>, String> {
-        let read = self.store.get(key, self.limit).await;
+        let read = self.store.get(key, self.timeout).await;
         let read = read.map_err(|failure| fault(failure).to_string())?;
         Ok(read.value)
     }
@@ -255,9 +275,9 @@
     }
 }
 
-/// Moves a full head's claims to a segment of their own.
+/// Moves a full head's claims to a new segment. Returns its number and claims.
 fn roll(head: &mut Head) -> Option<(u64, Vec<Entry>)> {
-    if head.entries.len() <= HEAD_CLAIMS {
+    if head.entries.len() <= HEAD_CLAIMS_MAX {
         return None;
     }
     let entries = std::mem::take(&mut head.entries);
@@ -293,9 +313,8 @@
         .map_or(0, |d| d.as_secs())
 }
 
-/// A claimant for tests of pages.
 impl Claimant {
-    /// A new claimant of a random request.
+    /// A claimant with a new random request id.
     pub fn new(name: ids::Box, incarnation: ids::Incarnation) -> Self {
         Self {
             name,
--- a/tests/all/claims.rs
+++ b/tests/all/claims.rs
@@ -1,5 +1,5 @@
-//! Claims: many writers of few pages, a store that loses replies, and a count
-//! of who was told that it holds a key.
+//! Tests of claims: many writers share few pages in a store that loses replies,
+//! and each test counts how many of them are told that they hold a key.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU16, Ordering};
@@ -20,12 +20,12 @@
 
 static NEXT: AtomicU16 = AtomicU16::new(0);
 
-struct World {
+struct Harness {
     store: Part<Door>,
     executor: Arc<Executor<'static>>,
 }
 
-impl World {
+impl Harness {
     fn new() -> Self {
         for _ in 0..100 {
             let port = 8000 + NEXT.fetch_add(1, Ordering::SeqCst) % 900;
@@ -38,19 +38,19 @@
         panic!("no free port");
     }
 
-    fn pages(&self, kept: Duration) -> Pages {
-        let limit = Duration::from_millis(300);
+    fn pages(&self, retention: Duration) -> Pages {
+        let timeout = Duration::from_millis(300);
         let client = Client::new(Pool::new(), self.store.address());
-        let pause = Duration::from_millis(1);
+        let interval = Duration::from_millis(1);
         let fleet = "safi".parse().unwrap();
-        Pages::new(client, limit, fleet, kept, pause, &self.executor)
+        Pages::new(client, timeout, fleet, retention, interval, &self.executor)
     }
 
     fn run<T>(&self, work: impl std::future::Future<Output = T>) -> T {
         smol::block_on(self.executor.run(work))
     }
 
-    fn switch(&self, faults: Faults) {
+    fn set_faults(&self, faults: Faults) {
         self.store.handler().0.switches.set(faults);
     }
 }
@@ -63,18 +63,18 @@
     Claimant::new(format!("box-{index}").parse().unwrap(), ids::Incarnation(1))
 }
 
-const LONG: Duration = Duration::from_secs(3600);
+const RETENTION: Duration = Duration::from_secs(3600);
 
 #[test]
 fn one_of_many_writers_holds_a_key() {
-    let world = World::new();
-    let writers: Vec<_> = (0..6).map(|_| world.pages(LONG)).collect();
-    let held = world.run(async {
+    let harness = Harness::new();
+    let writers: Vec<_> = (0..6).map(|_| harness.pages(RETENTION)).collect();
+    let held = harness.run(async {
         let mut tasks = Vec::new();
         for (index, pages) in writers.iter().enumerate() {
             for number in 0..50 {
                 let pages = pages.clone();
-                tasks.push(world.executor.spawn(async move {
+                tasks.push(harness.executor.spawn(async move {
                     let key = key(&format!("key-{number}"));
                     let verdict = pages
                         .claim(&key, claimant(index), ids::Digest(0), None)
@@ -91,7 +91,7 @@
         held
     });
     assert!(held.values().all(|count| *count == 1), "{held:?}");
-    let writes = world.store.handler().0.counts().writes;
+    let writes = harness.store.handler().0.counts().writes;
     assert!(
         writes < 300,
         "300 claims took {writes} writes: they are recorded together"
@@ -100,43 +100,44 @@
 
 #[test]
 fn a_claim_whose_reply_was_lost_is_recognised() {
-    let world = World::new();
-    let pages = world.pages(LONG);
-    // Once the page is known, the next call of a claim is its write.
+    let harness = Harness::new();
+    let pages = harness.pages(RETENTION);
+    // The first claim reads the page; after it, a claim on the same page calls the
+    // store for its write only, so that the lost reply is that of the write.
     let page = key("a").page(PAGES);
     let same = (0..)
         .map(|number| format!("b{number}"))
         .find(|text| key(text).page(PAGES) == page);
     let same = key(&same.unwrap());
-    let first = world.run(pages.claim(&key("a"), claimant(1), ids::Digest(0), None));
+    let first = harness.run(pages.claim(&key("a"), claimant(1), ids::Digest(0), None));
     assert_eq!(first, Verdict::Held);
-    world.switch(Faults {
+    harness.set_faults(Faults {
         drop_reply: 1,
         ..Faults::default()
     });
-    let writes = world.store.handler().0.counts().writes;
-    let second = world.run(pages.claim(&same, claimant(1), ids::Digest(0), None));
+    let writes = harness.store.handler().0.counts().writes;
+    let second = harness.run(pages.claim(&same, claimant(1), ids::Digest(0), None));
     assert_eq!(
         second,
         Verdict::Held,
         "its write took effect though the reply was lost"
     );
     assert_eq!(
-        world.store.handler().0.counts().writes,
+        harness.store.handler().0.counts().writes,
         writes + 1,
         "and is not made twice"
     );
 }
 
 #[test]
-fn claims_survive_a_full_head_and_their_writer() {
-    let world = World::new();
-    let pages = world.pages(LONG);
-    world.run(async {
+fn claims_outlast_a_full_head_and_their_writer() {
+    let harness = Harness::new();
+    let pages = harness.pages(RETENTION);
+    harness.run(async {
         let mut tasks = Vec::new();
         for number in 0..12_000 {
             let pages = pages.clone();
-            tasks.push(world.executor.spawn(async move {
+            tasks.push(harness.executor.spawn(async move {
                 let key = key(&format!("key-{number}"));
                 pages.claim(&key, claimant(1), ids::Digest(0), None).await
             }));
@@ -147,10 +148,10 @@
             }
         }
     });
-    let other = world.pages(LONG);
+    let other = harness.pages(RETENTION);
     for number in [0, 1, 5999, 11_999] {
         let key = key(&format!("key-{number}"));
-        let verdict = world.run(other.claim(&key, claimant(2), ids::Digest(0), None));
+        let verdict = harness.run(other.claim(&key, claimant(2), ids::Digest(0), None));
         assert!(
             matches!(verdict, Verdict::Earlier(_)),
             "{number}: {verdict:?}"
@@ -159,24 +160,24 @@
 }
 
 #[test]
-fn a_claim_that_was_given_up_passes_to_one_other() {
-    let world = World::new();
-    let pages = world.pages(LONG);
+fn a_claim_that_was_given_up_is_superseded_once() {
+    let harness = Harness::new();
+    let pages = harness.pages(RETENTION);
     let old = claimant(1);
     let given_up = old.request;
     assert_eq!(
-        world.run(pages.claim(&key("a"), old, ids::Digest(0), None)),
+        harness.run(pages.claim(&key("a"), old, ids::Digest(0), None)),
         Verdict::Held
     );
-    let over = |index| {
+    let supersede = |index| {
         let key = key("a");
-        world.run(pages.claim(&key, claimant(index), ids::Digest(0), Some(given_up)))
+        harness.run(pages.claim(&key, claimant(index), ids::Digest(0), Some(given_up)))
     };
-    assert_eq!(over(2), Verdict::Held);
-    assert!(matches!(over(3), Verdict::Earlier(_)));
+    assert_eq!(supersede(2), Verdict::Held);
+    assert!(matches!(supersede(3), Verdict::Earlier(_)));
 }
 
-/// What one writer does.
+/// A step of the property test: a claim, a fault of the store or a new writer.
 #[derive(Debug, Clone)]
 enum Step {
     Claim { writer: usize, key: u8 },
@@ -199,34 +200,35 @@
 proptest! {
     #![proptest_config(config(24))]
 
-    /// Against the simplest oracle: a key is told to be held once at most.
+    /// Whatever the steps, at most one claim per key gets the verdict that it
+    /// holds the key.
     #[test]
     fn a_key_is_held_once_at_most(steps in prop::collection::vec(any_step(), 1..60)) {
-        let world = World::new();
-        let mut writers: Vec<_> = (0..3).map(|_| world.pages(LONG)).collect();
+        let harness = Harness::new();
+        let mut writers: Vec<_> = (0..3).map(|_| harness.pages(RETENTION)).collect();
         let mut held: BTreeMap<u8, u32> = BTreeMap::new();
         for step in steps {
             match step {
                 Step::Claim { writer, key: number } => {
                     let key = key(&format!("key-{number}"));
                     let claim = writers[writer].claim(&key, claimant(writer), ids::Digest(0), None);
-                    if world.run(claim) == Verdict::Held {
+                    if harness.run(claim) == Verdict::Held {
                         *held.entry(number).or_default() += 1;
                     }
                 }
-                Step::DropReplies(count) => world.switch(Faults {
+                Step::DropReplies(count) => harness.set_faults(Faults {
                     drop_reply: count,
                     ..Faults::default()
                 }),
-                Step::Refuse(count) => world.switch(Faults {
+                Step::Refuse(count) => harness.set_faults(Faults {
                     refuse: count,
                     ..Faults::default()
                 }),
-                Step::Slow(delay_ms) => world.switch(Faults {
+                Step::Slow(delay_ms) => harness.set_faults(Faults {
                     delay_ms,
                     ..Faults::default()
                 }),
-                Step::NewWriter(index) => writers[index] = world.pages(LONG),
+                Step::NewWriter(index) => writers[index] = harness.pages(RETENTION),
             }
         }
         prop_assert!(held.values().all(|count| *count <= 1), "{:?}", held);
