--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -8,29 +8,30 @@
 use tidepier_clock::Instant;
 use tidepier_ids as ids;
 
-/// Time that a dead box stays in the table, so that an old rumor cannot bring
-/// it back.
-const TOMBSTONE: Duration = Duration::from_secs(60);
+/// Time that a dead box stays in the table, so that an old rumor cannot add it
+/// again as alive.
+const TOMBSTONE_RETENTION: Duration = Duration::from_secs(60);
 
-/// The state of a box, from good to bad.
+/// The state of a box, ordered from good to bad.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum State {
     /// It answers.
     #[serde(rename = "a")]
     Alive,
-    /// It has not answered a neighbour; it may still refute.
+    /// It has not answered a neighbour's heartbeats. It may still refute the
+    /// suspicion.
     #[serde(rename = "s")]
     Suspect,
-    /// It is stopping as planned and takes no duties.
+    /// It is in its graceful shutdown and takes no duties.
     #[serde(rename = "l")]
     Leaving,
-    /// It is gone.
+    /// It was declared dead, or has announced the end of its process.
     #[serde(rename = "d")]
     Dead,
 }
 
 impl State {
-    /// The state as a word.
+    /// The name of the state.
     pub fn name(self) -> &'static str {
         match self {
             State::Alive => "alive",
@@ -41,7 +42,7 @@
     }
 }
 
-/// What one box says of another.
+/// What boxes tell each other of the state of one box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rumor {
     /// The box.
@@ -50,16 +51,17 @@
     /// Its hall.
     #[serde(rename = "h")]
     pub hall: ids::Hall,
-    /// Where it takes links.
+    /// The address where it accepts links of other boxes.
     #[serde(rename = "p")]
     pub peers: SocketAddr,
-    /// Where it takes operators.
+    /// The address where it accepts requests of operators.
     #[serde(rename = "o")]
     pub admin: SocketAddr,
     /// Its incarnation.
     #[serde(rename = "i")]
     pub incarnation: ids::Incarnation,
-    /// Raised by the box itself to refute a suspicion.
+    /// A number that the box itself raises, to refute a suspicion or to announce
+    /// that it is leaving.
     #[serde(rename = "n")]
     pub sequence: u32,
     /// Its state.
@@ -68,6 +70,7 @@
 }
 
 impl Rumor {
+    /// The key by which rumors of one box are ordered, the newest last.
     fn order(&self) -> (ids::Incarnation, u32, State) {
         (self.incarnation, self.sequence, self.state)
     }
@@ -80,22 +83,23 @@
     pub name: ids::Box,
     /// Its hall.
     pub hall: ids::Hall,
-    /// The newest rumor of it.
+    /// The newest rumor about it.
     pub rumor: Rumor,
-    /// When its state last changed here.
+    /// When this box last applied a rumor about it.
     pub since: Instant,
 }
 
-/// A change that the caller has to act on.
+/// A change of the table that the caller has to act on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Sight {
     /// A box joined, or came back in a new incarnation.
     Joined(ids::Box),
-    /// A box became suspected, refuted it, or is leaving.
+    /// A box became suspect, refuted the suspicion, or is leaving.
     Changed(ids::Box, State),
     /// A box died or was removed.
     Died(ids::Box),
-    /// This box itself was declared dead and has a new incarnation.
+    /// This box was declared dead, or a newer incarnation of it was reported, and
+    /// it has started a new incarnation.
     Reborn,
 }
 
@@ -104,8 +108,8 @@
 pub struct Table {
     me: ids::Box,
     members: BTreeMap<ids::Box, Member>,
-    /// Rumors still to be spread, with how often each has been handed out.
-    fresh: Vec<(Rumor, u32)>,
+    /// Rumors that are still to be spread, with how often each has been sent.
+    unspread: Vec<(Rumor, u32)>,
 }
 
 impl Table {
@@ -115,7 +119,7 @@
         let mut table = Self {
             me: name,
             members: BTreeMap::new(),
-            fresh: Vec::new(),
+            unspread: Vec::new(),
         };
         table.insert(me, now);
         table
@@ -132,7 +136,7 @@
         self.members.values().filter(alive)
     }
 
-    /// Boxes of `hall` that may hold a duty.
+    /// The boxes of `hall` that may be given a duty.
     pub fn candidates<'t>(&'t self, hall: &'t ids::Hall) -> impl Iterator<Item = &'t Member> {
         let able = |member: &&Member| matches!(member.rumor.state, State::Alive | State::Suspect);
         self.present()
@@ -145,7 +149,7 @@
         self.members.get(name)
     }
 
-    /// Every rumor, for a full exchange.
+    /// The newest rumor about every box, for an exchange of complete tables.
     pub fn rumors(&self) -> Vec<Rumor> {
         self.members
             .values()
@@ -153,7 +157,7 @@
             .collect()
     }
 
-    /// A digest of the table: equal tables have equal digests.
+    /// A digest of the table without dead boxes. Equal tables have equal digests.
     pub fn digest(&self) -> u32 {
         let mut text = String::new();
         for member in self.members.values() {
@@ -171,10 +175,10 @@
         ids::Digest::of(text.as_bytes()).0 as u32
     }
 
-    /// Takes a rumor. Returns what changed, if it was news.
+    /// Applies a rumor if it is newer than what is known. Returns what changed.
     pub fn hear(&mut self, rumor: Rumor, now: Instant) -> Option<Sight> {
         if rumor.name == self.me {
-            return self.hear_of_me(&rumor, now);
+            return self.refute(&rumor, now);
         }
         let known = self
             .members
@@ -189,14 +193,15 @@
         let sight = match known {
             None if rumor.state == State::Dead => None,
             None => Some(Sight::Joined(rumor.name.clone())),
-            Some(known) => change(&known, &rumor),
+            Some(known) => sight_of(&known, &rumor),
         };
         self.insert(rumor, now);
         sight
     }
 
-    /// Refutes what is said of this box, where it is wrong.
-    fn hear_of_me(&mut self, rumor: &Rumor, now: Instant) -> Option<Sight> {
+    /// Refutes a rumor about this box if it is newer than what this box knows of
+    /// itself.
+    fn refute(&mut self, rumor: &Rumor, now: Instant) -> Option<Sight> {
         let mine = self.me().clone();
         if rumor.order() <= mine.order() {
             return None;
@@ -214,17 +219,18 @@
         None
     }
 
-    /// Suspects a box that has not answered.
+    /// Marks a box that has not answered as suspect.
     pub fn suspect(&mut self, name: &ids::Box, now: Instant) -> Option<Sight> {
-        self.worsen(name, State::Suspect, now)
+        self.set_worse_state(name, State::Suspect, now)
     }
 
-    /// Removes a box whose process is known to be gone.
+    /// Declares a box dead, for example when its process is known to have ended.
     pub fn bury(&mut self, name: &ids::Box, now: Instant) -> Option<Sight> {
-        self.worsen(name, State::Dead, now)
+        self.set_worse_state(name, State::Dead, now)
     }
 
-    fn worsen(&mut self, name: &ids::Box, state: State, now: Instant) -> Option<Sight> {
+    /// Applies a rumor that a box has `state`, unless its state is as bad already.
+    fn set_worse_state(&mut self, name: &ids::Box, state: State, now: Instant) -> Option<Sight> {
         let member = self.members.get(name)?;
         if member.rumor.state >= state {
             return None;
@@ -242,19 +248,21 @@
         self.insert(me, now);
     }
 
-    /// Takes this box out of the table of others: the last word of a process.
+    /// The rumor that this box is dead, which its process sends last so that others
+    /// remove the box.
     pub fn last_word(&self) -> Rumor {
         let mut me = self.me().clone();
         me.state = State::Dead;
         me
     }
 
-    /// Removes suspects of this hall that did not refute within `patience`,
-    /// and forgets old deaths.
-    pub fn expire(&mut self, patience: Duration, now: Instant) -> Vec<Sight> {
+    /// Declares suspects of this hall dead that did not refute the suspicion within
+    /// `timeout`, and drops boxes that have been dead for
+    /// [`TOMBSTONE_RETENTION`].
+    pub fn expire(&mut self, timeout: Duration, now: Instant) -> Vec<Sight> {
         let hall = self.me().hall.clone();
         let late = |member: &&Member| {
-            let aged = now.saturating_duration_since(member.since) >= patience;
+            let aged = now.saturating_duration_since(member.since) >= timeout;
             member.rumor.state == State::Suspect && member.hall == hall && aged
         };
         let names: Vec<_> = self
@@ -265,7 +273,7 @@
             .collect();
         self.members.retain(|_, member| {
             let age = now.saturating_duration_since(member.since);
-            member.rumor.state != State::Dead || age < TOMBSTONE
+            member.rumor.state != State::Dead || age < TOMBSTONE_RETENTION
         });
         names
             .iter()
@@ -273,20 +281,21 @@
             .collect()
     }
 
-    /// Rumors to send with the next heartbeat; each is handed out `times` times.
-    pub fn spread(&mut self, most: usize, times: u32) -> Vec<Rumor> {
+    /// At most `max` rumors to send with the next heartbeat. Each rumor is sent
+    /// `times` times in all.
+    pub fn spread(&mut self, max: usize, times: u32) -> Vec<Rumor> {
         let mut out = Vec::new();
-        for (rumor, told) in self.fresh.iter_mut().take(most) {
-            *told += 1;
+        for (rumor, sent) in self.unspread.iter_mut().take(max) {
+            *sent += 1;
             out.push(rumor.clone());
         }
-        self.fresh.retain(|(_, told)| *told < times);
+        self.unspread.retain(|(_, sent)| *sent < times);
         out
     }
 
     fn insert(&mut self, rumor: Rumor, now: Instant) {
-        self.fresh.retain(|(old, _)| old.name != rumor.name);
-        self.fresh.push((rumor.clone(), 0));
+        self.unspread.retain(|(old, _)| old.name != rumor.name);
+        self.unspread.push((rumor.clone(), 0));
         let member = Member {
             name: rumor.name.clone(),
             hall: rumor.hall.clone(),
@@ -297,7 +306,8 @@
     }
 }
 
-fn change(known: &Rumor, rumor: &Rumor) -> Option<Sight> {
+/// What a caller has to act on when `rumor` replaces `known`.
+fn sight_of(known: &Rumor, rumor: &Rumor) -> Option<Sight> {
     let name = rumor.name.clone();
     if rumor.state == State::Dead {
         return (known.state != State::Dead).then_some(Sight::Died(name));
--- a/tests/all/membership.rs
+++ b/tests/all/membership.rs
@@ -1,5 +1,5 @@
-//! The table of boxes: whatever the order in which rumors arrive, equal
-//! rumors make equal tables, and nothing old wins over anything new.
+//! Tests of the table of boxes: the same rumors give the same table in whatever
+//! order they arrive, and an older rumor never replaces a newer one.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -55,7 +55,7 @@
     #![proptest_config(config(512))]
 
     #[test]
-    fn tables_agree_whatever_the_order(
+    fn tables_do_not_depend_on_the_order_of_rumors(
         (rumors, shuffled) in prop::collection::vec(any_rumor(), 0..60)
             .prop_flat_map(|rumors| (Just(rumors.clone()), Just(rumors).prop_shuffle())),
     ) {
@@ -107,14 +107,14 @@
     let mut other = table(2);
     other.hear(me.me().clone(), now);
     other.suspect(&me.me().name.clone(), now);
-    let said = other.get(&me.me().name.clone()).unwrap().rumor.clone();
-    me.hear(said, now);
+    let suspicion = other.get(&me.me().name.clone()).unwrap().rumor.clone();
+    me.hear(suspicion, now);
     let sight = other.hear(me.me().clone(), now);
     assert!(matches!(sight, Some(Sight::Changed(_, State::Alive))));
 }
 
 #[test]
-fn a_box_that_was_declared_dead_comes_back_as_another_incarnation() {
+fn a_box_that_was_declared_dead_starts_a_new_incarnation() {
     let now = Instant::now();
     let mut me = table(1);
     let before = me.me().incarnation;
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn only_boxes_of_the_own_hall_are_removed_by_silence() {
+fn only_suspects_of_the_own_hall_are_declared_dead() {
     let now = Instant::now();
     let mut table = table(0);
     for index in [1, 3] {
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn an_old_rumor_cannot_bring_the_dead_back() {
+fn an_old_rumor_does_not_add_a_dead_box_again() {
     let now = Instant::now();
     let mut table = table(0);
     let alive = rumor(3, 5, 2, State::Alive);
