--- a/crates/steward/src/bin/tidepier-steward.rs
+++ b/crates/steward/src/bin/tidepier-steward.rs
@@ -39,7 +39,7 @@
     let stopped = async {
         signals.next().await;
         steward.stop();
-        // A second signal ends the process at once; the lease then lapses.
+        // A second signal ends the process at once; the lease then expires.
         signals.next().await;
     };
     smol::spawn(tidepier_clock::watch()).detach();
--- a/crates/steward/src/lib.rs
+++ b/crates/steward/src/lib.rs
@@ -1,21 +1,22 @@
-//! The steward process: orders to engines, and paced use of the weight store.
+//! The steward process. It orders engines to load the models that the document
+//! declares, at the rate for which the weight store gives permits.
 //!
-//! It is a process of its own so that nothing it does, a stuck weight store or
-//! a crash, can touch a stream. Every box runs one; in each hall the one that
-//! holds the duty's lease acts.
+//! It is a process of its own so that neither an unresponsive weight store nor a
+//! crash of the steward can affect the router's streams. Every box runs one. In
+//! each hall, only the one that holds the lease of the hall's duty acts.
 //!
-//! Orders are level-triggered: what the document wants is compared with what
-//! an engine reports, and ordered until the two are equal.
+//! Orders are level-triggered: the steward compares what the document declares
+//! with what an engine reports, and repeats the order until the two are equal.
 //!
 //! Invariants:
 //!
 //! * No order is sent after the end of the lease by this process's own
-//!   monotonic clock, counted from before the call that renewed it, less a
-//!   margin for the order's flight.
-//! * Orders carry the lease's fencing number, which grows from holder to
+//!   monotonic clock. The lease is counted from before the call that took or
+//!   renewed it, less a margin for the time that an order takes to arrive.
+//! * Orders carry the duty's fencing number, which is higher for each later
 //!   holder.
-//! * An engine that does not check fencing numbers is ordered by a new holder
-//!   only after the longest time that an order of the holder before can take.
+//! * A new holder sends orders to an engine that does not check fencing numbers
+//!   only after the longest time that an order of the previous holder can take.
 
 mod duty;
 mod orders;
--- a/tests/all/orders.rs
+++ b/tests/all/orders.rs
@@ -1,5 +1,5 @@
-//! Orders to engines: they converge to the document, and a holder that slept
-//! past its lease orders nothing.
+//! Tests of the steward: engines converge to the document, and a holder of the
+//! duty that was suspended beyond the end of its lease sends no orders.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     let _steward = fleet.steward(0);
     let old = fleet.made.document.models[0].version.clone();
     fleet.wait("the first version", || fleet.loaded(&old));
-    // An engine refuses for a while, and the store goes.
+    // One engine rejects the next three requests.
     fleet.engine(1).engine().switches.set(Faults {
         refuse: 3,
         ..Faults::default()
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_holder_that_slept_past_its_lease_orders_nothing() {
+fn a_holder_that_was_suspended_past_its_lease_orders_nothing() {
     let fleet = fleet();
     let first = fleet.steward(0);
     let old = fleet.made.document.models[0].version.clone();
@@ -61,15 +61,21 @@
 }
 
 #[test]
-fn a_duty_has_one_holder_and_growing_numbers() {
+fn a_duty_has_one_holder_and_growing_fencing_numbers() {
     let fleet = fleet();
     let settings = &fleet.made.boxes[0];
     let pool = tidepier_http::client::Pool::new();
     let store = tidepier_store::etcd::Client::new(pool, settings.platform.store.0);
-    let limit = Duration::from_millis(500);
+    let timeout = Duration::from_millis(500);
     let duty = |index: usize| {
         let name = fleet.made.boxes[index].name.clone();
-        Duty::new(store.clone(), limit, &settings.fleet, &settings.hall, name)
+        Duty::new(
+            store.clone(),
+            timeout,
+            &settings.fleet,
+            &settings.hall,
+            name,
+        )
     };
     let (one, other) = (duty(0), duty(1));
     let first = smol::block_on(one.take())
