--- a/tests/all/claims.rs
+++ b/tests/all/claims.rs
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn claims_outlast_a_full_head_and_their_writer() {
+fn claims_survive_a_full_head_and_their_writer() {
     let harness = Harness::new();
     let pages = harness.pages(RETENTION);
     harness.run(async {
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_claim_that_was_given_up_is_superseded_once() {
+fn a_claim_that_was_given_up_passes_to_one_other() {
     let harness = Harness::new();
     let pages = harness.pages(RETENTION);
     let old = claimant(1);
--- a/tests/all/orders.rs
+++ b/tests/all/orders.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_holder_that_was_suspended_past_its_lease_orders_nothing() {
+fn a_holder_that_slept_past_its_lease_orders_nothing() {
     let fleet = fleet();
     let first = fleet.steward(0);
     let old = fleet.made.document.models[0].version.clone();
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_duty_has_one_holder_and_growing_fencing_numbers() {
+fn a_duty_has_one_holder_and_growing_numbers() {
     let fleet = fleet();
     let settings = &fleet.made.boxes[0];
     let pool = tidepier_http::client::Pool::new();
--- a/tests/all/placement.rs
+++ b/tests/all/placement.rs
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_late_report_is_not_counted_as_foreign_load() {
+fn a_late_report_is_not_taken_for_foreign_load() {
     let (mut pool, now) = pool_of(load(), 2);
     let mut held = Vec::new();
     for number in 0..6 {
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn a_refusal_comes_at_once_with_a_retry_delay() {
+fn a_refusal_comes_at_once_and_says_when_to_come_back() {
     let mut small = load();
     small.queue = 2;
     let (mut pool, now) = pool_of(small, 1);
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn waiting_requests_of_a_dissolved_pool_are_refused() {
+fn whoever_waits_before_a_pool_that_ends_is_told() {
     let (mut pool, now) = pool_of(load(), 1);
     let mut waiting = Vec::new();
     for number in 0..12 {
@@ -344,7 +344,7 @@
 }
 
 #[test]
-fn adopted_grants_count_towards_the_bound() {
+fn adopted_places_count_towards_the_bound() {
     let (mut pool, now) = pool_of(load(), 2);
     for number in 0..8 {
         pool.adopt(&ask(number, "a", 0), &engine(0), now);
