--- a/crates/store/src/boxes.rs
+++ b/crates/store/src/boxes.rs
@@ -1,4 +1,5 @@
-//! The platform's list of boxes, which lags and differs by reader for seconds.
+//! The platform's list of boxes. It may be some seconds old, and different readers
+//! may see different states of it for that long.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,15 +10,15 @@
 use tidepier_ids as ids;
 
 /// Largest accepted list in bytes.
-const LIST_BYTES: u64 = 1 << 20;
+const LIST_BYTES_MAX: u64 = 1 << 20;
 
-/// What the platform says of a box.
+/// The state of a box, as the platform reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It runs.
+    /// The box runs.
     Live,
-    /// It is about to be stopped.
+    /// The box is about to be stopped.
     Leaving,
 }
 
@@ -29,11 +30,11 @@
     pub name: ids::Box,
     /// Its data hall.
     pub hall: ids::Hall,
-    /// Where its router takes links.
+    /// The address where its router accepts links.
     pub peers: SocketAddr,
-    /// Where its router takes operators.
+    /// The address where its router accepts requests of operators.
     pub admin: SocketAddr,
-    /// Live or leaving.
+    /// Whether it is live or leaving.
     pub state: State,
 }
 
@@ -48,16 +49,16 @@
 ///
 /// # Errors
 ///
-/// [`Kind::Store`] when the platform does not answer with a list.
+/// [`Kind::Store`] when the platform does not answer, or not with a list.
 pub async fn read(
     pool: &Pool,
     address: SocketAddr,
     reader: &ids::Box,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<List, Fault> {
     metrics::counter!("tidepier_store_calls_total", "call" => "boxes").increment(1);
     let call = Call::get(format!("/boxes?reader={reader}")).counted("list");
-    let answer = pool.whole(address, &call, LIST_BYTES, limit).await;
+    let answer = pool.whole(address, &call, LIST_BYTES_MAX, timeout).await;
     let answer = answer.map_err(|error| Fault::new(Kind::Store, format!("box list: {error}")))?;
     if answer.status != 200 {
         let detail = format!("box list: status {}", answer.status);
--- a/crates/store/src/etcd/format.rs
+++ b/crates/store/src/etcd/format.rs
@@ -1,5 +1,5 @@
-//! Bodies of the gateway: keys and values in base64, 64-bit numbers as text,
-//! and fields left out where they are 0 or empty.
+//! The JSON bodies of the gateway. Keys and values are in base64, 64-bit numbers
+//! are text, and fields that are 0 or empty are left out.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use serde_json::{json, Value};
 use tidepier_core::store::{Event, Failure, Item, LeaseId, Revision, Write};
 
-/// A 64-bit number.
+/// A 64-bit number, written as text.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct Number(pub(super) u64);
 
@@ -92,14 +92,14 @@
     pub(super) result: Renewed,
 }
 
-/// 0 seconds: the lease is over.
+/// A renewed lease; 0 seconds mean that it has ended.
 #[derive(Deserialize)]
 pub(super) struct Renewed {
     #[serde(rename = "TTL", default)]
     pub(super) seconds: Number,
 }
 
-/// One line of a watch.
+/// One line of a watch's answer.
 #[derive(Deserialize)]
 pub(super) struct Line {
     pub(super) result: Changes,
@@ -111,7 +111,7 @@
     pub(super) header: Header,
     #[serde(default)]
     pub(super) events: Vec<Change>,
-    /// Not 0: the changes up to this revision are no longer known.
+    /// If not 0, the store no longer has the changes up to this revision.
     #[serde(default)]
     pub(super) compact_revision: Number,
 }
@@ -147,8 +147,9 @@
     STANDARD.encode(key)
 }
 
-/// The first key after all that begin with `prefix`.
-pub(super) fn end_of(prefix: &str) -> String {
+/// The end of the range of keys that begin with `prefix`: the first key after
+/// them.
+pub(super) fn range_end(prefix: &str) -> String {
     let mut end = prefix.as_bytes().to_vec();
     if let Some(last) = end.last_mut() {
         *last += 1;
@@ -156,6 +157,7 @@
     STANDARD.encode(end)
 }
 
+/// The condition that a key is still at a revision.
 pub(super) fn unchanged(&(key, revision): &(&str, Revision)) -> Value {
     json!({
         "key": encode(key),
--- a/crates/store/src/etcd/mod.rs
+++ b/crates/store/src/etcd/mod.rs
@@ -1,9 +1,9 @@
-//! The store, by the JSON gateway of the etcd v3 API.
+//! A client of the store through the JSON gateway of the etcd v3 API.
 //!
-//! A call on a kept connection that fails is sent once more on a new one, so
-//! a change that was asked for once may arrive twice: under a condition the
-//! second meets the first as [`Swap::Conflict`], and a second lease lapses
-//! unused.
+//! A call that fails on a kept-alive connection is sent once more on a new one, so
+//! a change may arrive twice. Of a conditional change, the second copy then gets
+//! [`Swap::Conflict`], caused by the first. A lease that was granted twice expires
+//! unused once.
 
 mod format;
 mod watch;
@@ -22,12 +22,12 @@
 pub use self::watch::Watch;
 use format::{Granted, KeyValue, Range, Renewal, Transaction};
 
-/// Largest accepted answer in bytes: a value of a megabyte in base64, and a
-/// range of such values.
-const ANSWER_BYTES: u64 = 16 << 20;
+/// Largest accepted answer in bytes, which leaves room for a range of values of a
+/// megabyte each in base64.
+const ANSWER_BYTES_MAX: u64 = 16 << 20;
 
-/// A client of the store. Each call counts in the metric
-/// `tidepier_store_calls_total` by its kind.
+/// A client of the store. Each call is counted by its name in the metric
+/// `tidepier_store_calls_total`.
 #[derive(Clone)]
 pub struct Client {
     pool: Pool,
@@ -40,8 +40,8 @@
         Self { pool, address }
     }
 
-    async fn range(&self, body: &Value, limit: Duration) -> Result<Read<Vec<Item>>, Failure> {
-        let reply: Range = self.call("range", "/v3/kv/range", body, limit).await?;
+    async fn range(&self, body: &Value, timeout: Duration) -> Result<Read<Vec<Item>>, Failure> {
+        let reply: Range = self.call("range", "/v3/kv/range", body, timeout).await?;
         let items = reply.kvs.into_iter().map(KeyValue::item);
         Ok(Read {
             value: items.collect::<Result<_, _>>()?,
@@ -54,14 +54,17 @@
         name: &'static str,
         path: &str,
         body: &Value,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<T, Failure> {
-        count(name);
+        count_call(name);
         let call = Call::post(path, body.to_string().into_bytes()).counted("store");
-        let answer = self.pool.whole(self.address, &call, ANSWER_BYTES, limit);
+        let answer = self
+            .pool
+            .whole(self.address, &call, ANSWER_BYTES_MAX, timeout);
         let answer = answer.await.map_err(|failure| match failure {
-            // A kept connection may have been tried before the one that could
-            // not be opened, so this does not show that nothing was sent.
+            // `Unsent` does not show that nothing was sent: before the connection
+            // that could not be opened, the call may have been sent on a kept-alive
+            // one.
             client::Failure::Unsent(error) | client::Failure::Unknown(error) => {
                 Failure::NoAnswer(error)
             }
@@ -69,7 +72,7 @@
         match answer.status {
             200 => serde_json::from_slice(&answer.bytes)
                 .map_err(|error| Failure::Malformed(error.to_string())),
-            status => Err(refusal(status)),
+            status => Err(failure_of(status)),
         }
     }
 }
@@ -77,9 +80,9 @@
 impl Store for Client {
     type Watch = Watch;
 
-    async fn get(&self, key: &str, limit: Duration) -> Result<Read<Option<Item>>, Failure> {
+    async fn get(&self, key: &str, timeout: Duration) -> Result<Read<Option<Item>>, Failure> {
         let body = json!({ "key": format::encode(key) });
-        let read = self.range(&body, limit).await?;
+        let read = self.range(&body, timeout).await?;
         Ok(Read {
             value: read.value.into_iter().next(),
             revision: read.revision,
@@ -90,37 +93,37 @@
         &self,
         prefix: &str,
         stale: bool,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Read<Vec<Item>>, Failure> {
         let mut body = json!({
             "key": format::encode(prefix),
-            "range_end": format::end_of(prefix),
+            "range_end": format::range_end(prefix),
         });
         if stale {
             body["serializable"] = json!(true);
         }
-        self.range(&body, limit).await
+        self.range(&body, timeout).await
     }
 
     fn watch(&self, scope: Scope<'_>, after: Revision) -> Watch {
         Watch::new(self.clone(), scope, after)
     }
 
-    /// A conflict does not tell the items: the gateway would have to be asked
-    /// for them together with every change.
+    /// A conflict does not report the current items: every change would have to
+    /// request them from the gateway as well.
     async fn swap(
         &self,
         expected: &[(&str, Revision)],
         write: &[Write<'_>],
         remove: &[&str],
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Swap, Failure> {
         let compare: Vec<Value> = expected.iter().map(format::unchanged).collect();
         let puts = write.iter().map(format::put);
         let success: Vec<Value> = puts.chain(remove.iter().map(format::delete)).collect();
         let body = json!({ "compare": compare, "success": success });
         let leased = write.iter().any(|write| write.lease.is_some());
-        let reply = self.call("txn", "/v3/kv/txn", &body, limit).await;
+        let reply = self.call("txn", "/v3/kv/txn", &body, timeout).await;
         match reply {
             Ok(Transaction {
                 succeeded: true,
@@ -133,11 +136,11 @@
     }
 
     /// The gateway counts in whole seconds; `ttl` is rounded up.
-    async fn lease(&self, ttl: Duration, limit: Duration) -> Result<Lease, Failure> {
+    async fn lease(&self, ttl: Duration, timeout: Duration) -> Result<Lease, Failure> {
         let seconds = ttl.as_millis().div_ceil(1_000);
         let body = json!({ "TTL": seconds.to_string() });
         let reply: Granted = self
-            .call("lease_grant", "/v3/lease/grant", &body, limit)
+            .call("lease_grant", "/v3/lease/grant", &body, timeout)
             .await?;
         Ok(Lease {
             id: LeaseId(reply.id.0),
@@ -145,10 +148,10 @@
         })
     }
 
-    async fn renew(&self, id: LeaseId, limit: Duration) -> Result<LeaseState, Failure> {
+    async fn renew(&self, id: LeaseId, timeout: Duration) -> Result<LeaseState, Failure> {
         let body = json!({ "ID": id.0.to_string() });
         let reply: Renewal = self
-            .call("lease_keepalive", "/v3/lease/keepalive", &body, limit)
+            .call("lease_keepalive", "/v3/lease/keepalive", &body, timeout)
             .await?;
         match reply.result.seconds {
             format::Number(0) => Ok(LeaseState::Gone),
@@ -156,27 +159,27 @@
         }
     }
 
-    async fn end(&self, id: LeaseId, limit: Duration) -> Result<(), Failure> {
+    async fn end(&self, id: LeaseId, timeout: Duration) -> Result<(), Failure> {
         let body = json!({ "ID": id.0.to_string() });
         let reply: Result<Value, Failure> = self
-            .call("lease_revoke", "/v3/lease/revoke", &body, limit)
+            .call("lease_revoke", "/v3/lease/revoke", &body, timeout)
             .await;
         match reply {
-            // A lease that is over already has ended as well.
+            // The gateway answers 404 if the lease has already ended.
             Ok(_) | Err(Failure::Refused(404)) => Ok(()),
             Err(failure) => Err(failure),
         }
     }
 }
 
-fn count(call: &'static str) {
+fn count_call(call: &'static str) {
     metrics::counter!("tidepier_store_calls_total", "call" => call).increment(1);
 }
 
-/// What a status other than 200 means. The gateway answers 503 also when a
-/// change took too long, and 500 for what it cannot name: these leave open
-/// whether it was done.
-fn refusal(status: u16) -> Failure {
+/// The failure that a status other than 200 means. The gateway answers 503 also
+/// when a change took too long, and 500 for errors that it does not classify.
+/// After these, the change may or may not have been made.
+fn failure_of(status: u16) -> Failure {
     match status {
         429 => Failure::TooMany,
         400 | 401 | 403 | 404 | 405 | 413 | 501 => Failure::Refused(status),
--- a/crates/store/src/etcd/watch.rs
+++ b/crates/store/src/etcd/watch.rs
@@ -1,4 +1,5 @@
-//! A watch: one answer that does not end, with a line for each change.
+//! A watch: one answer that does not end, with a line of JSON for each set of
+//! changes.
 
 use std::pin::Pin;
 use std::time::Duration;
@@ -10,20 +11,20 @@
 use tidepier_http::client::{self as http, Call};
 use tidepier_http::server::within;
 
-use super::format::{encode, end_of, Line};
-use super::{count, Client};
+use super::format::{encode, range_end, Line};
+use super::{count_call, Client};
 
-type Open = Lines<Pin<Box<dyn AsyncBufRead + Send>>>;
+type Stream = Lines<Pin<Box<dyn AsyncBufRead + Send>>>;
 
 /// A running watch.
 pub struct Watch {
     client: Client,
-    /// What is watched, as the gateway takes it.
+    /// The request that starts the watch, in the gateway's format.
     request: Value,
-    /// Up to where the changes are known.
+    /// The revision up to which the changes are known.
     after: Revision,
-    /// The answer, once it has been asked for.
-    open: Option<Open>,
+    /// The lines of the answer, once the request has been sent.
+    stream: Option<Stream>,
 }
 
 impl Watch {
@@ -33,7 +34,7 @@
             Scope::Key(key) => json!({ "key": encode(key), "start_revision": from }),
             Scope::Prefix(prefix) => json!({
                 "key": encode(prefix),
-                "range_end": end_of(prefix),
+                "range_end": range_end(prefix),
                 "start_revision": from,
             }),
         };
@@ -41,16 +42,16 @@
             client,
             request: json!({ "create_request": request }),
             after,
-            open: None,
+            stream: None,
         }
     }
 
-    async fn lines(&mut self) -> Result<&mut Open, Failure> {
-        let lines = match self.open.take() {
+    async fn lines(&mut self) -> Result<&mut Stream, Failure> {
+        let lines = match self.stream.take() {
             Some(lines) => lines,
             None => start(&self.client, &self.request).await?,
         };
-        Ok(self.open.insert(lines))
+        Ok(self.stream.insert(lines))
     }
 
     async fn changes(&mut self) -> Result<Vec<Event>, Failure> {
@@ -77,8 +78,8 @@
             let events = changes.events.into_iter().map(|change| change.event());
             let events: Vec<Event> = events.collect::<Result<_, _>>()?;
             let newest = events.iter().map(Event::revision).max();
-            let seen = newest.max(Some(changes.header.revision.revision()));
-            self.after = seen.map_or(self.after, |seen| seen.max(self.after));
+            let known = newest.max(Some(changes.header.revision.revision()));
+            self.after = known.map_or(self.after, |known| known.max(self.after));
             return Ok(events);
         }
     }
@@ -96,13 +97,13 @@
     }
 }
 
-async fn start(client: &Client, request: &Value) -> Result<Open, Failure> {
-    count("watch");
+async fn start(client: &Client, request: &Value) -> Result<Stream, Failure> {
+    count_call("watch");
     let body = request.to_string().into_bytes();
     let call = Call::post("/v3/watch", body).once().counted("store");
     let answer = client.pool.send(client.address, &call).await;
     let answer = answer.map_err(|failure| match failure {
-        // Without a repeat, nothing was sent before.
+        // The call is sent once without a retry, so nothing was sent before.
         http::Failure::Unsent(error) => Failure::NotSent(error),
         http::Failure::Unknown(error) => Failure::NoAnswer(error),
     })?;
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,10 +1,11 @@
 //! Clients of the platform that tidepier runs on.
 //!
-//! * [`etcd`]: the key-value service with compare-and-swap, leases and
-//!   watches, met by the JSON gateway of the etcd v3 API: a client of
-//!   `tidepier_core::store`.
-//! * [`boxes`]: the lagging list of live and leaving boxes.
-//! * [`weights`]: the rate-limited weight store.
+//! * [`etcd`]: the key-value store with compare-and-swap, leases and watches,
+//!   reached through the JSON gateway of the etcd v3 API. Its client implements
+//!   the traits of `tidepier_core::store`.
+//! * [`boxes`]: the list of live and leaving boxes, which may be some seconds
+//!   old.
+//! * [`weights`]: the weight store, which limits the rate of loads.
 //!
 //! Every call is counted by name in `tidepier_store_calls_total`.
 
@@ -15,7 +16,7 @@
 use tidepier_core::store::Failure;
 use tidepier_errors::{Fault, Kind};
 
-/// What a call to the store that failed is to operators and callers.
+/// The fault that operators and clients see for a failed call to the store.
 pub fn fault(failure: Failure) -> Fault {
     Fault::new(Kind::Store, failure.to_string())
 }
--- a/crates/store/src/weights.rs
+++ b/crates/store/src/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store: hands out permits to load weights at a limited rate.
+//! The weight store, which grants permits to load weights at a limited rate.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,14 +8,14 @@
 use tidepier_http::client::{Call, Pool};
 
 /// Largest accepted answer in bytes.
-const ANSWER_BYTES: u64 = 64 << 10;
-/// Time for one call.
-const CALL_TIME: Duration = Duration::from_secs(2);
+const ANSWER_BYTES_MAX: u64 = 64 << 10;
+/// Time-out of one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A permit for one engine to load one object.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Permit {
-    /// Presented by the engine when it loads.
+    /// The text that the engine presents when it loads the object.
     pub permit: String,
 }
 
@@ -23,12 +23,14 @@
 ///
 /// # Errors
 ///
-/// [`Kind::Quota`] with a wait when the rate is used up; [`Kind::Store`] when
-/// the weight store does not answer.
+/// [`Kind::Quota`], with the time to wait, when the rate is used up.
+/// [`Kind::Store`] when the weight store does not answer, or not as expected.
 pub async fn permit(pool: &Pool, address: SocketAddr, object: &str) -> Result<Permit, Fault> {
     let body = serde_json::json!({ "object": object }).to_string();
     let call = Call::post("/permits", body.into_bytes()).once();
-    let answer = pool.whole(address, &call, ANSWER_BYTES, CALL_TIME).await;
+    let answer = pool
+        .whole(address, &call, ANSWER_BYTES_MAX, CALL_TIMEOUT)
+        .await;
     let answer = answer.map_err(|error| Fault::new(Kind::Store, format!("weights: {error}")))?;
     match answer.status {
         200 => serde_json::from_slice(&answer.bytes)
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,5 +1,5 @@
-//! The frames, with short names on the wire: a request for a place on an
-//! engine and its answer must stay under a hundred bytes together.
+//! The frames. Their names on the wire are short, because a request for a place on
+//! an engine and its answer must take less than a hundred bytes together.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -10,10 +10,11 @@
 use tidepier_membership::Rumor;
 use tidepier_placement::Ended;
 
-/// The version of this list of frames. Links between versions are refused.
+/// The version of this list of frames. Links between different versions are
+/// refused.
 pub const VERSION: u16 = 1;
 
-/// What a frame is for, as counted.
+/// What a frame is for, as metrics count it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Purpose {
     /// Opening a link.
@@ -24,9 +25,9 @@
     Grant,
     /// The fleet document.
     Configuration,
-    /// Claims and kept answers.
+    /// Claims, and kept answers of claimed requests.
     Claim,
-    /// Explaining.
+    /// Queries of `tidepier explain`.
     Explain,
 }
 
@@ -50,7 +51,7 @@
     }
 }
 
-/// Who opens a link.
+/// What each side of a new link says of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
     /// [`VERSION`].
@@ -63,11 +64,11 @@
     pub hall: ids::Hall,
     /// Its incarnation.
     pub incarnation: ids::Incarnation,
-    /// Where it takes links.
+    /// The address where it accepts links.
     pub peers: SocketAddr,
-    /// Where it takes operators.
+    /// The address where it accepts requests of operators.
     pub admin: SocketAddr,
-    /// Random, for the proof of the other side.
+    /// Random bytes, which the other side includes in its proof.
     #[serde(with = "serde_bytes")]
     pub nonce: Vec<u8>,
 }
@@ -75,13 +76,13 @@
 /// A heartbeat or its answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Beat {
-    /// The generation in force.
+    /// The generation of the document that the sender uses.
     #[serde(rename = "g")]
     pub generation: ids::Generation,
     /// The digest of the sender's table of boxes.
     #[serde(rename = "t")]
     pub table: u32,
-    /// News.
+    /// Rumors that are still being spread.
     #[serde(rename = "r", default, skip_serializing_if = "Vec::is_empty")]
     pub rumors: Vec<Rumor>,
 }
@@ -98,45 +99,45 @@
     /// The account. Its share and priority are in the document.
     #[serde(rename = "a")]
     pub account: ids::Account,
-    /// The hash of the chat's stable start.
+    /// The hash of the unchanging start of the chat's prompt.
     #[serde(rename = "k")]
     pub prefix: ids::Prefix,
-    /// The hash that this chat alone keeps.
+    /// A hash that is unique to this chat and the same in all its turns.
     #[serde(rename = "c")]
     pub chat: ids::Chat,
     /// Whether the chat has had a turn before.
     #[serde(rename = "r")]
     pub returning: bool,
-    /// The engine that served the chat last.
+    /// The engine that last served the chat.
     #[serde(rename = "e", default, skip_serializing_if = "Option::is_none")]
     pub prefer: Option<ids::Engine>,
-    /// Engines that have just failed this request.
+    /// Engines on which this request has just failed.
     #[serde(rename = "x", default, skip_serializing_if = "Vec::is_empty")]
     pub avoid: Vec<ids::Engine>,
-    /// Milliseconds that the request can wait.
+    /// Longest time that the request can wait, in milliseconds.
     #[serde(rename = "w")]
     pub patience_ms: u64,
 }
 
-/// Requests that run or wait in a pool for each engine, in sixteenths, so that
-/// it takes one to three bytes.
+/// The mean number of requests that run or wait in a pool, per engine. It is sent
+/// in sixteenths, which take one to three bytes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Pressure(u16);
 
 impl Pressure {
-    /// From requests for each engine.
+    /// From the mean number of requests per engine.
     pub fn new(requests: f64) -> Self {
         Self((requests * 16.0).clamp(0.0, f64::from(u16::MAX)) as u16)
     }
 
-    /// As requests for each engine.
+    /// The mean number of requests per engine.
     pub fn requests(self) -> f64 {
         f64::from(self.0) / 16.0
     }
 }
 
-/// A place that the sender still holds, told to a new keeper.
+/// A place that the sender still holds, as it reports it to a new keeper.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holding {
     /// The model.
@@ -153,7 +154,7 @@
     pub number: u64,
 }
 
-/// The new name of an adopted place.
+/// The slot number that a new keeper has given a place that it adopted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Adoption {
     /// The model.
@@ -162,12 +163,12 @@
     /// The holder's number for the request.
     #[serde(rename = "n")]
     pub number: u64,
-    /// The slot.
+    /// The new slot.
     #[serde(rename = "s")]
     pub slot: ids::Slot,
 }
 
-/// A kept answer of a not-repeatable request.
+/// The kept answer to a request that must not be repeated.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Kept {
     /// HTTP status.
@@ -179,19 +180,19 @@
     pub body: Vec<u8>,
 }
 
-/// What became of a not-repeatable request.
+/// What became of a request that must not be repeated.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Fate {
-    /// It runs.
+    /// It is in flight.
     #[serde(rename = "r")]
     Runs,
     /// It ended with this answer.
     #[serde(rename = "d")]
     Done(Kept),
-    /// It was given up before it was sent, and never will be.
+    /// It was given up before it was sent, and will never be sent.
     #[serde(rename = "a")]
     Abandoned,
-    /// It is not known here (any more).
+    /// The box that was asked does not know it, or no longer knows it.
     #[serde(rename = "u")]
     Unknown,
 }
@@ -199,75 +200,78 @@
 /// One frame.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
-    /// First frame of each side.
+    /// The first frame of each side.
     #[serde(rename = "h")]
     Hello(Hello),
-    /// Second frame of each side: a MAC over both hellos.
+    /// The second frame of each side: a MAC over the content of both hellos.
     #[serde(rename = "p")]
     Proof(#[serde(with = "serde_bytes")] Vec<u8>),
-    /// Heartbeat.
+    /// A heartbeat.
     #[serde(rename = "b")]
     Beat(Beat),
-    /// Answer to a heartbeat.
+    /// The answer to a heartbeat.
     #[serde(rename = "c")]
     Echo(Beat),
-    /// The whole table, sent when digests differ.
+    /// The complete table of boxes, sent when digests differ.
     #[serde(rename = "t")]
     Table(Vec<Rumor>),
     /// Asks whether the receiver can reach a box.
     #[serde(rename = "q")]
     Reach(ids::Box),
-    /// Answer to [`Frame::Reach`].
+    /// The answer to [`Frame::Reach`].
     #[serde(rename = "y")]
     Reached(ids::Box, bool),
-    /// Asks for the document; the sender holds this generation.
+    /// Asks for the document. The sender has this generation of it.
     #[serde(rename = "f")]
     Fetch(ids::Generation),
-    /// The whole record, JSON.
+    /// The complete record of the document, in JSON.
     #[serde(rename = "r")]
     Record(#[serde(with = "serde_bytes")] Vec<u8>),
-    /// The difference from the generation that the receiver holds, JSON Patch.
+    /// The difference from the given generation, which the receiver has, as a JSON
+    /// Patch.
     #[serde(rename = "d")]
     Patch(ids::Generation, #[serde(with = "serde_bytes")] Vec<u8>),
-    /// Asks for a place.
+    /// Asks for a place on an engine.
     #[serde(rename = "a")]
     Ask(Ask),
-    /// The sender's request has a place; last, the pool's requests for each
-    /// engine.
+    /// A place for the request of this number: its engine and slot, and the
+    /// pool's pressure.
     #[serde(rename = "g")]
     Grant(u64, ids::Engine, ids::Slot, Pressure),
-    /// The sender's request is refused.
+    /// The refusal of the request of this number: its kind, its detail and the
+    /// milliseconds after which to retry.
     #[serde(rename = "n")]
     Refuse(u64, Kind, String, u64),
-    /// Gives a place back.
+    /// Releases a place.
     #[serde(rename = "e")]
     Release(ids::Slot, Ended),
-    /// Withdraws a request.
+    /// Withdraws the request of this number.
     #[serde(rename = "w")]
     Withdraw(ids::Model, u64),
-    /// Places that the sender holds from an earlier keeper.
+    /// The places that the sender still holds from an earlier keeper.
     #[serde(rename = "o")]
     Holds(Vec<Holding>),
-    /// New names of such places.
+    /// The new slots of the places in a [`Frame::Holds`].
     #[serde(rename = "s")]
     Adopted(Vec<Adoption>),
-    /// First frame on a new link to a keeper: all slots that the sender holds
-    /// from it. What it does not name was given back on a link that failed.
+    /// The first frame on a new link to a keeper: all slots that the sender holds
+    /// from it. Slots that it does not name were released on a link that failed
+    /// before the keeper received the release.
     #[serde(rename = "i")]
     Still(Vec<ids::Slot>),
-    /// Asks for the fate of a claim that the receiver has made.
+    /// Asks what became of a request that the receiver has claimed.
     #[serde(rename = "k")]
     FateOf(u64, ids::Request),
-    /// Answer to [`Frame::FateOf`].
+    /// The answer to [`Frame::FateOf`].
     #[serde(rename = "l")]
     Fate(u64, Fate),
     /// Asks to record a claim.
     #[serde(rename = "m")]
     Claim(u64, Wish),
-    /// Answer to [`Frame::Claim`].
+    /// The answer to [`Frame::Claim`].
     #[serde(rename = "v")]
     Claimed(u64, Claimed),
-    /// The sender is stopping; its link ends.
+    /// The sender's process ends, and with it the link. The rumor says so.
     #[serde(rename = "z")]
     Bye(Rumor),
 }
@@ -287,12 +291,13 @@
     /// The digest of its body.
     #[serde(rename = "d")]
     pub body: ids::Digest,
-    /// A claim that was given up without sending, to be replaced.
+    /// The request of an earlier claim, which was given up before that request was
+    /// sent. This claim replaces that one.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
     pub over: Option<ids::Request>,
 }
 
-/// Who holds a key.
+/// The holder of a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
     /// The box.
@@ -309,7 +314,7 @@
     pub body: ids::Digest,
 }
 
-/// How a claim ended.
+/// The outcome of a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Claimed {
     /// The sender holds the claim.
@@ -318,7 +323,7 @@
     /// Another request holds it.
     #[serde(rename = "n")]
     Earlier(Holder),
-    /// It could not be recorded.
+    /// The claim could not be confirmed.
     #[serde(rename = "f")]
     Failed(String),
 }
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -1,4 +1,4 @@
-//! Opening links and moving frames over them.
+//! Opens links, and sends and receives frames over them.
 
 use std::fmt;
 use std::io;
@@ -19,26 +19,29 @@
 
 use crate::frame::{Frame, Hello, VERSION};
 
-/// Largest frame in bytes: a document of a megabyte with room for its frame.
-const FRAME_BYTES: usize = 2 << 20;
-/// Largest frame taken from a side that has not proved itself.
-const HELLO_BYTES: usize = 1024;
-/// Read buffer of a link in bytes; the library's default is 128 KiB, too much
-/// for hundreds of links in a small box.
-const BUFFER_BYTES: usize = 4 << 10;
-/// Time to open a link.
-const OPEN_TIME: Duration = Duration::from_secs(3);
+/// Largest frame in bytes, which leaves ample room around a document of a
+/// megabyte.
+const FRAME_BYTES_MAX: usize = 2 << 20;
+/// Largest frame in bytes that is accepted from a side that has not yet proved that
+/// it holds a link key.
+const UNPROVEN_FRAME_BYTES_MAX: usize = 1024;
+/// Read buffer of a link in bytes. The library's default of 128 KiB is too much
+/// for hundreds of links on a small box.
+const READ_BUFFER_BYTES: usize = 4 << 10;
+/// Time-out of opening a link.
+const OPEN_TIMEOUT: Duration = Duration::from_secs(3);
 /// Bytes of a nonce.
 const NONCE_BYTES: usize = 16;
 
-/// Why a link could not be opened or ended.
+/// Why a link could not be opened or has ended.
 #[derive(Debug)]
 pub enum Error {
-    /// Nothing listens at the address: the process is gone.
+    /// Nothing listens at the address: the process has ended.
     Refused,
     /// The socket failed or timed out.
     Io(io::Error),
-    /// The other side proved no key, or has another fleet or version.
+    /// The other side did not prove a known key, or is of another fleet or
+    /// version.
     Denied(&'static str),
     /// A frame could not be read.
     Malformed(String),
@@ -68,7 +71,7 @@
 
 /// An open link.
 pub struct Link {
-    /// Who is at the other end.
+    /// The other side, as its hello describes it.
     pub peer: Hello,
     /// Sends frames.
     pub sender: Sender,
@@ -76,7 +79,7 @@
     pub receiver: Receiver,
 }
 
-/// A fresh nonce.
+/// A new random nonce.
 pub fn nonce() -> Vec<u8> {
     let mut bytes = vec![0; NONCE_BYTES];
     rand::rng().fill_bytes(&mut bytes);
@@ -84,21 +87,22 @@
 }
 
 impl Link {
-    /// Opens a link to `address` over a network.
+    /// Opens a link to `address` over `network`.
     ///
     /// # Errors
     ///
-    /// [`Error::Refused`] when nothing listens there, else what went wrong.
+    /// [`Error::Refused`] when nothing listens there; other errors for all other
+    /// failures.
     pub async fn dial(
         network: &dyn Dial,
         address: SocketAddr,
         me: &Hello,
         keys: &[Secret],
     ) -> Result<Self, Error> {
-        timed(Self::dial_untimed(network, address, me, keys)).await
+        with_timeout(Self::dial_without_timeout(network, address, me, keys)).await
     }
 
-    async fn dial_untimed(
+    async fn dial_without_timeout(
         network: &dyn Dial,
         address: SocketAddr,
         me: &Hello,
@@ -127,16 +131,21 @@
         })
     }
 
-    /// Accepts a link on a fresh connection.
+    /// Accepts a link on a new connection.
     ///
     /// # Errors
     ///
-    /// What went wrong; a side without a known key is [`Error::Denied`].
+    /// [`Error::Denied`] when the other side does not prove a known key; other
+    /// errors for other failures.
     pub async fn accept(socket: TcpStream, me: &Hello, keys: &[Secret]) -> Result<Self, Error> {
-        timed(Self::accept_untimed(socket, me, keys)).await
+        with_timeout(Self::accept_without_timeout(socket, me, keys)).await
     }
 
-    async fn accept_untimed(socket: TcpStream, me: &Hello, keys: &[Secret]) -> Result<Self, Error> {
+    async fn accept_without_timeout(
+        socket: TcpStream,
+        me: &Hello,
+        keys: &[Secret],
+    ) -> Result<Self, Error> {
         socket.set_nodelay(true).map_err(Error::Io)?;
         let opened = async_tungstenite::accept_async_with_config(socket, Some(limits()));
         let stream = opened.await.map_err(socket_error)?;
@@ -171,16 +180,16 @@
             .map_err(|error| Error::Malformed(error.to_string()))?;
         let purpose = frame.purpose().name();
         metrics::counter!("tidepier_control_bytes_total", "purpose" => purpose)
-            .increment(on_the_wire(bytes.len()));
+            .increment(bytes_on_wire(bytes.len()));
         metrics::counter!("tidepier_control_messages_total", "purpose" => purpose).increment(1);
         let sent = self.0.send(Message::Binary(bytes.into())).await;
         sent.map_err(socket_error)
     }
 }
 
-/// Bytes of a frame with the WebSocket header (the dialler's has a mask of
-/// four bytes, counted for both).
-fn on_the_wire(body: usize) -> u64 {
+/// Bytes that a frame takes with its WebSocket header. The header of the dialling
+/// side has a mask of four bytes, which is counted for both sides.
+fn bytes_on_wire(body: usize) -> u64 {
     let header = match body {
         0..=125 => 6,
         126..=65_535 => 8,
@@ -194,8 +203,8 @@
     ///
     /// # Errors
     ///
-    /// The link has failed or ended, or the frame cannot be read; the link is
-    /// of no use after that.
+    /// The link has failed or ended, or the frame cannot be read. The link cannot
+    /// be used after an error.
     pub async fn recv(&mut self) -> Result<Frame, Error> {
         loop {
             match self.0.next().await {
@@ -210,7 +219,7 @@
     }
 
     async fn hello(&mut self, fleet: &tidepier_ids::Account) -> Result<Hello, Error> {
-        let Frame::Hello(hello) = self.first().await? else {
+        let Frame::Hello(hello) = self.recv_unproven().await? else {
             return Err(denied("no hello"));
         };
         if hello.version != VERSION {
@@ -226,16 +235,19 @@
     }
 
     async fn proof(&mut self) -> Result<Vec<u8>, Error> {
-        match self.first().await? {
+        match self.recv_unproven().await? {
             Frame::Proof(mac) => Ok(mac),
             _ => Err(denied("no proof")),
         }
     }
 
-    /// A frame from a side that has not proved itself: small ones only.
-    async fn first(&mut self) -> Result<Frame, Error> {
+    /// Receives a frame from a side that has not yet proved that it holds a link
+    /// key. Only small frames are accepted.
+    async fn recv_unproven(&mut self) -> Result<Frame, Error> {
         match self.0.next().await {
-            Some(Ok(Message::Binary(bytes))) if bytes.len() <= HELLO_BYTES => decode(&bytes),
+            Some(Ok(Message::Binary(bytes))) if bytes.len() <= UNPROVEN_FRAME_BYTES_MAX => {
+                decode(&bytes)
+            }
             Some(Err(error)) => Err(socket_error(error)),
             None => Err(Error::Closed),
             Some(Ok(_)) => Err(denied("not a hello")),
@@ -264,9 +276,9 @@
 
 fn limits() -> WebSocketConfig {
     WebSocketConfig::default()
-        .max_message_size(Some(FRAME_BYTES))
-        .max_frame_size(Some(FRAME_BYTES))
-        .read_buffer_size(BUFFER_BYTES)
+        .max_message_size(Some(FRAME_BYTES_MAX))
+        .max_frame_size(Some(FRAME_BYTES_MAX))
+        .read_buffer_size(READ_BUFFER_BYTES)
         .write_buffer_size(0)
 }
 
@@ -286,16 +298,18 @@
     }
 }
 
-async fn timed<T>(work: impl std::future::Future<Output = Result<T, Error>>) -> Result<T, Error> {
+async fn with_timeout<T>(
+    work: impl std::future::Future<Output = Result<T, Error>>,
+) -> Result<T, Error> {
     let late = async {
-        Timer::after(OPEN_TIME).await;
+        Timer::after(OPEN_TIMEOUT).await;
         Err(Error::Io(io::ErrorKind::TimedOut.into()))
     };
     work.or(late).await
 }
 
 fn mac(key: &Secret, role: &str, prover: &Hello, other: &Hello) -> Hmac<Sha256> {
-    // A key of any length is taken, so this cannot fail.
+    // HMAC takes a key of any length, so this cannot fail.
     let mut mac = Hmac::<Sha256>::new_from_slice(key.bytes()).expect("HMAC takes any key");
     for part in [
         role.as_bytes(),
--- a/tests/all/stores.rs
+++ b/tests/all/stores.rs
@@ -1,5 +1,6 @@
-//! Both stores keep one contract: the gateway's client and that of the users'
-//! platform are asked the same questions, each at its stand-in.
+//! Tests that both clients of a store fulfil the contract of
+//! `tidepier_core::store`: that of the gateway and that of the users' platform,
+//! each against its stand-in.
 
 use std::io::{BufRead, BufReader, Read, Write as _};
 use std::net::{SocketAddr, TcpListener};
@@ -15,14 +16,14 @@
 use tidepier_standin::store::{Door, Store as Gateway};
 use tidepier_store::etcd;
 
-/// Ample for a call over loopback.
-const LIMIT: Duration = Duration::from_secs(5);
-/// Time in which nothing is to happen.
-const SHORT: Duration = Duration::from_millis(150);
-/// Term of a lease that outlasts a test.
-const TERM: Duration = Duration::from_secs(60);
+/// Time-out of a call over loopback, far longer than one takes.
+const TIMEOUT: Duration = Duration::from_secs(5);
+/// Time in which a test expects no change or answer.
+const QUIET_TIME: Duration = Duration::from_millis(150);
+/// Term of a lease, longer than any test.
+const LEASE_TTL: Duration = Duration::from_secs(60);
 
-/// An address of loopback that was free just now.
+/// A loopback address whose port was free just now.
 fn address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
     listener.local_addr().expect("bound")
@@ -51,7 +52,7 @@
 }
 
 async fn get(store: &impl Store, key: &str) -> Option<Item> {
-    store.get(key, LIMIT).await.expect("read").value
+    store.get(key, TIMEOUT).await.expect("read").value
 }
 
 async fn items_change_under_conditions(store: &impl Store) {
@@ -59,25 +60,25 @@
     assert_eq!(get(store, a).await, None);
     let absent = [(a, Revision::of(0))];
     let writes = [write(a, b"\xff\x00", None)];
-    let first = done(store.swap(&absent, &writes, &[], LIMIT).await);
-    let read = store.get(a, LIMIT).await.expect("read");
+    let first = done(store.swap(&absent, &writes, &[], TIMEOUT).await);
+    let read = store.get(a, TIMEOUT).await.expect("read");
     assert!(read.revision >= first, "{read:?}");
     let item = read.value.expect("an item");
     assert_eq!((&*item.key, &*item.value), (a, &b"\xff\x00"[..]));
     assert_eq!((item.revision, item.lease), (first, None));
-    // It is there by now.
-    match store.swap(&absent, &writes, &[], LIMIT).await {
+    // The item exists by now, so the condition that it is absent fails.
+    match store.swap(&absent, &writes, &[], TIMEOUT).await {
         Ok(Swap::Conflict(Current::Items(now))) => assert_eq!(now, std::slice::from_ref(&item)),
         Ok(Swap::Conflict(Current::NotReported)) => {}
         other => panic!("{other:?}"),
     }
     assert_eq!(get(store, a).await, Some(item));
     let second = store
-        .swap(&[(a, first)], &[write(b, b"", None)], &[a], LIMIT)
+        .swap(&[(a, first)], &[write(b, b"", None)], &[a], TIMEOUT)
         .await;
     assert!(done(second) > first);
     assert_eq!(get(store, a).await, None);
-    let listed = store.list("contract/", false, LIMIT).await.expect("list");
+    let listed = store.list("contract/", false, TIMEOUT).await.expect("list");
     let keys: Vec<&str> = listed.value.iter().map(|item| &*item.key).collect();
     assert_eq!(keys, [b]);
     assert!(get(store, b).await.expect("an item").value.is_empty());
@@ -85,25 +86,25 @@
 
 async fn changes_are_watched(store: &impl Store) {
     let (key, beside) = ("watched/key", "watched/key-beside");
-    let now = store.list("watched/", false, LIMIT).await.expect("list");
+    let now = store.list("watched/", false, TIMEOUT).await.expect("list");
     let mut watch = store.watch(Scope::Key(key), now.revision);
     let start = Instant::now();
-    let nothing = watch.next(SHORT).await.expect("a wait");
-    assert!(nothing.value.is_empty() && start.elapsed() >= SHORT);
-    // Not what was asked for, though its key begins alike.
+    let nothing = watch.next(QUIET_TIME).await.expect("a wait");
+    assert!(nothing.value.is_empty() && start.elapsed() >= QUIET_TIME);
+    // A watch of one key does not report another that begins with it.
     done(
         store
-            .swap(&[], &[write(beside, b"0", None)], &[], LIMIT)
+            .swap(&[], &[write(beside, b"0", None)], &[], TIMEOUT)
             .await,
     );
     for value in [b"1", b"2"] {
         let written = done(
             store
-                .swap(&[], &[write(key, value, None)], &[], LIMIT)
+                .swap(&[], &[write(key, value, None)], &[], TIMEOUT)
                 .await,
         );
         let read = loop {
-            let read = watch.next(LIMIT).await.expect("changes");
+            let read = watch.next(TIMEOUT).await.expect("changes");
             if !read.value.is_empty() {
                 break read;
             }
@@ -116,20 +117,20 @@
     }
 }
 
-async fn items_go_with_their_lease(store: &impl Store) {
+async fn items_are_removed_with_their_lease(store: &impl Store) {
     let key = "leased/key";
-    let lease = store.lease(TERM, LIMIT).await.expect("granted");
-    assert_eq!(lease.ttl, TERM);
+    let lease = store.lease(LEASE_TTL, TIMEOUT).await.expect("granted");
+    assert_eq!(lease.ttl, LEASE_TTL);
     let writes = [write(key, b"1", Some(lease.id))];
-    done(store.swap(&[], &writes, &[], LIMIT).await);
-    let kept = store.renew(lease.id, LIMIT).await.expect("an answer");
-    assert_eq!(kept, LeaseState::For(TERM));
-    store.end(lease.id, LIMIT).await.expect("ended");
-    store.end(lease.id, LIMIT).await.expect("ended before");
+    done(store.swap(&[], &writes, &[], TIMEOUT).await);
+    let kept = store.renew(lease.id, TIMEOUT).await.expect("an answer");
+    assert_eq!(kept, LeaseState::For(LEASE_TTL));
+    store.end(lease.id, TIMEOUT).await.expect("ended");
+    store.end(lease.id, TIMEOUT).await.expect("ended before");
     assert_eq!(get(store, key).await, None);
-    let gone = store.renew(lease.id, LIMIT).await.expect("an answer");
+    let gone = store.renew(lease.id, TIMEOUT).await.expect("an answer");
     assert_eq!(gone, LeaseState::Gone);
-    let late = store.swap(&[], &writes, &[], LIMIT).await;
+    let late = store.swap(&[], &writes, &[], TIMEOUT).await;
     assert_eq!(late.expect("an answer"), Swap::LeaseExpired);
     assert_eq!(get(store, key).await, None);
 }
@@ -137,24 +138,24 @@
 async fn the_contract(store: &impl Store) {
     items_change_under_conditions(store).await;
     changes_are_watched(store).await;
-    items_go_with_their_lease(store).await;
+    items_are_removed_with_their_lease(store).await;
 }
 
 #[test]
-fn the_gateway_keeps_the_contract() {
+fn the_gateway_client_fulfils_the_contract() {
     let (_part, client) = gateway();
     smol::block_on(the_contract(&client));
 }
 
 #[test]
-fn the_users_platform_keeps_the_contract() {
+fn the_users_platform_client_fulfils_the_contract() {
     let store = tidepier_relay_standin::Store::start().expect("a store");
     let client = tidepier_platform::store::Client::new(store.address());
     smol::block_on(the_contract(&client));
 }
 
 #[test]
-fn a_change_at_the_gateway_whose_answer_is_lost_may_have_been_done() {
+fn a_change_whose_answer_is_lost_may_have_been_made() {
     let (part, client) = gateway();
     part.handler().0.switches.set(Faults {
         drop_reply: 1,
@@ -162,14 +163,15 @@
     });
     smol::block_on(async {
         let writes = [write("lost", b"1", None)];
-        let lost = client.swap(&[], &writes, &[], SHORT).await;
+        let lost = client.swap(&[], &writes, &[], QUIET_TIME).await;
         assert!(matches!(lost, Err(Failure::NoAnswer(_))), "{lost:?}");
         let item = get(&client, "lost").await.expect("an item");
         assert_eq!(item.value, b"1");
     });
 }
 
-/// A gateway that answers one call with this status and body, and closes.
+/// A client of a gateway that answers one call with this status and body and then
+/// closes the connection.
 fn answering(status: u16, body: &'static str) -> etcd::Client {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
     let address = listener.local_addr().expect("bound");
@@ -178,9 +180,9 @@
         let mut reader = BufReader::new(&stream);
         let (mut line, mut length) = (String::new(), 0);
         while reader.read_line(&mut line).is_ok_and(|read| read > 2) {
-            let told = line.to_ascii_lowercase();
-            if let Some(told) = told.strip_prefix("content-length:") {
-                length = told.trim().parse().expect("a number");
+            let header = line.to_ascii_lowercase();
+            if let Some(header) = header.strip_prefix("content-length:") {
+                length = header.trim().parse().expect("a number");
             }
             line.clear();
         }
@@ -193,36 +195,36 @@
 }
 
 #[test]
-fn refusals_of_the_gateway_are_told_apart() {
+fn error_statuses_of_the_gateway_are_distinguished() {
     for (status, body, name) in [
         (429, "{}", "too_many"),
         (400, "{}", "refused"),
-        // It was given up, and may be done all the same.
+        // The gateway gave the call up; it may have been carried out nevertheless.
         (503, "{}", "no_answer"),
         (500, "{}", "no_answer"),
         (200, "no json", "malformed"),
         (200, r#"{"kvs":[{"key":"*"}]}"#, "malformed"),
     ] {
         let client = answering(status, body);
-        let failure = smol::block_on(client.get("k", LIMIT)).expect_err("refused");
+        let failure = smol::block_on(client.get("k", TIMEOUT)).expect_err("refused");
         assert_eq!(failure.name(), name, "{status} {body}");
     }
 }
 
 #[test]
-fn a_watch_of_the_gateway_tells_that_history_is_gone() {
+fn a_watch_reports_that_its_history_was_compacted() {
     let client = answering(
         200,
         r#"{"result":{"header":{"revision":"9"},"created":true}}
         {"result":{"header":{"revision":"9"},"canceled":true,"compact_revision":"7"}}"#,
     );
     let mut watch = client.watch(Scope::Prefix("k/"), Revision::of(3));
-    let gone = smol::block_on(watch.next(LIMIT));
+    let gone = smol::block_on(watch.next(TIMEOUT));
     assert!(matches!(gone, Err(Failure::Compacted)), "{gone:?}");
 }
 
 #[test]
-fn a_watch_of_the_gateway_tells_removals_and_ends_with_its_connection() {
+fn a_watch_reports_removals_and_ends_with_its_connection() {
     let client = answering(
         200,
         r#"{"result":{"header":{"revision":"9"},"events":[{"type":"DELETE","kv":{"key":"aw==","mod_revision":"8"}}]}}
@@ -230,13 +232,13 @@
     );
     let mut watch = client.watch(Scope::Key("k"), Revision::of(3));
     smol::block_on(async {
-        let read = watch.next(LIMIT).await.expect("changes");
+        let read = watch.next(TIMEOUT).await.expect("changes");
         let gone = Event::Delete {
             key: "k".to_owned(),
             revision: Revision::of(8),
         };
         assert_eq!((read.value, read.revision), (vec![gone], Revision::of(9)));
-        let ended = watch.next(LIMIT).await;
+        let ended = watch.next(TIMEOUT).await;
         assert!(matches!(ended, Err(Failure::NoAnswer(_))), "{ended:?}");
     });
 }
--- a/tests/all/wire.rs
+++ b/tests/all/wire.rs
@@ -1,4 +1,5 @@
-//! Links: who may open one, and what bytes may do.
+//! Tests of links between boxes: who may open one, which frames are applied, and
+//! that no bytes from a peer crash a router.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -62,7 +63,8 @@
     assert_eq!(strangers, 1, "only the last one was let in: {known:?}");
 }
 
-/// A peer that is behind, or lies, cannot take a box back.
+/// A peer that has an older document, or pretends to, must not make a box return to
+/// an earlier generation.
 #[test]
 fn a_lower_generation_from_a_peer_is_not_taken() {
     let fleet = fleet();
@@ -90,7 +92,7 @@
     for frame in [record(1), record(2), Frame::Record(b"{}".to_vec())] {
         smol::block_on(link.sender.send(&frame)).unwrap();
     }
-    // An answer to a later frame shows that the ones before were taken in.
+    // The answer to a later frame shows that the earlier ones were processed.
     let beat = Beat {
         generation: ids::Generation(0),
         table: 0,
@@ -152,7 +154,7 @@
     #![proptest_config(config(32))]
 
     #[test]
-    fn no_bytes_break_the_peers_door(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn no_bytes_crash_the_peer_listener(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         static FLEET: std::sync::OnceLock<Fleet> = std::sync::OnceLock::new();
         let fleet = FLEET.get_or_init(fleet);
         let mut socket = TcpStream::connect(fleet.made.boxes[0].peers.0).unwrap();
@@ -165,7 +167,7 @@
     }
 
     #[test]
-    fn no_bytes_break_the_decoding_of_frames(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn no_bytes_crash_the_decoding_of_frames(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _: Result<Frame, _> = ciborium::from_reader(bytes.as_slice());
     }
 }
