--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,8 +1,10 @@
-//! Reads a JSON file against the schema of its type and reports every fault.
+//! Reads a JSON file, checks it against the schema of its type and reports all
+//! faults.
 //!
 //! The schema is generated from the type itself, so the two cannot differ.
-//! References between parts of a file are checked on the parsed JSON and not
-//! on the typed value, so that they are reported together with type faults.
+//! References between parts of a file are checked on the parsed JSON and not on
+//! the typed value, so that faults of references and of types are reported
+//! together.
 
 use std::fmt;
 use std::fs;
@@ -15,7 +17,7 @@
 use serde_json::Value;
 
 /// Longest excerpt of a found value in a message, in characters.
-const EXCERPT_CHARS: usize = 60;
+const EXCERPT_CHARS_MAX: usize = 60;
 
 /// One fault of a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -63,9 +65,9 @@
 
 /// A type whose files hold references that a schema cannot express.
 pub trait References {
-    /// Reports references that lead nowhere, duplicates and the like. Parts
-    /// that are missing or of a wrong type are passed over: the schema
-    /// reports those.
+    /// Reports references to names that are not declared, duplicates and other
+    /// faults that a schema cannot express. Parts that are missing or of a wrong
+    /// type are skipped: the check against the schema reports those.
     fn references(value: &Value, report: &mut Report);
 }
 
@@ -84,12 +86,13 @@
     }
 }
 
-/// Parses `text` as a `T` and checks it whole.
+/// Parses `text` as a `T` and checks it completely.
 ///
 /// # Errors
 ///
-/// Every fault found: one for a syntax error, with its line and column, or all
-/// faults of types, unknown or missing fields and references.
+/// All faults found. Of a text that is not JSON that is one fault, with its line
+/// and column; otherwise all faults of types, references, and unknown or missing
+/// fields.
 pub fn parse<T>(text: &str) -> Result<T, Faults>
 where
     T: DeserializeOwned + JsonSchema + References,
@@ -110,9 +113,9 @@
     })
 }
 
-/// Like [`parse`], for a type whose `Deserialize` and [`References`] hold every
-/// rule of its schema. The schema is only compiled to report faults: that takes
-/// 28 MB, which a process that stays small must not keep.
+/// Like [`parse`], for a type whose `Deserialize` and [`References`] enforce every
+/// rule of its schema. The schema is compiled only if there are faults to report:
+/// compiling it takes 28 MB, too much for a process that is to stay small.
 ///
 /// # Errors
 ///
@@ -134,9 +137,9 @@
 /// Why a file could not be used.
 #[derive(Debug)]
 pub enum FileError {
-    /// It cannot be read.
+    /// The file cannot be read.
     Unreadable(PathBuf, io::Error),
-    /// It has faults.
+    /// The file has faults.
     Faulty(PathBuf, Faults),
 }
 
@@ -227,7 +230,7 @@
     }
 }
 
-/// What the branches of a choice allow, such as the words of a closed set.
+/// What the branches of a choice allow, for example the variants of an enum.
 fn one_of(context: &[Vec<jsonschema::ValidationError<'_>>]) -> String {
     let firsts = context.iter().filter_map(|branch| branch.first());
     let words: Vec<_> = firsts.map(|error| allowed(&error.kind)).collect();
@@ -235,9 +238,9 @@
 }
 
 fn excerpt(text: &str) -> String {
-    if text.chars().count() <= EXCERPT_CHARS {
+    if text.chars().count() <= EXCERPT_CHARS_MAX {
         return text.into();
     }
-    let start: String = text.chars().take(EXCERPT_CHARS).collect();
+    let start: String = text.chars().take(EXCERPT_CHARS_MAX).collect();
     format!("{start}...")
 }
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,6 +1,6 @@
 //! The fleet document: what operators declare for the whole fleet.
 //!
-//! The document is applied whole. The platform's store keeps it inside a
+//! The document is always applied as a whole. The platform's store keeps it in a
 //! [`Record`], whose generation only grows.
 
 use std::collections::BTreeSet;
@@ -35,10 +35,10 @@
     /// The bound on load and the queues before the engines.
     #[serde(default)]
     pub load: Load,
-    /// Where returning chats go.
+    /// Which engines returning chats go to.
     #[serde(default)]
     pub returning: Returning,
-    /// Shares of the traffic that stay on old back ends.
+    /// Shares of the traffic that stay on old backends.
     #[serde(default)]
     pub old: Vec<Old>,
 }
@@ -47,7 +47,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// The name that callers use.
+    /// The name that clients use.
     pub name: ids::Model,
     /// The version of the weights.
     pub version: String,
@@ -56,14 +56,14 @@
     pub adapters: Vec<String>,
 }
 
-/// The part that an engine plays.
+/// Whether an engine takes new requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It takes new work.
+    /// It takes new requests.
     #[default]
     Active,
-    /// It finishes its streams and takes no new work.
+    /// It finishes its streams and takes no new requests.
     Leaving,
 }
 
@@ -75,11 +75,11 @@
     pub name: ids::Engine,
     /// Its data hall.
     pub hall: ids::Hall,
-    /// Where it serves.
+    /// The address where it serves requests.
     pub address: Address,
     /// The model it serves.
     pub model: ids::Model,
-    /// Whether it takes new work. Default active.
+    /// Whether it takes new requests. Default active.
     #[serde(default)]
     pub state: State,
     /// Whether it refuses orders with an old fencing number. Default true.
@@ -96,8 +96,8 @@
     /// Its servers.
     #[schemars(length(min = 1))]
     pub servers: Vec<Server>,
-    /// Paths (below the service) whose POST calls may not be repeated, even
-    /// where the caller does not say so.
+    /// Paths (below the service) whose POST requests must not be repeated, even if
+    /// the client does not say so.
     #[serde(default)]
     pub not_repeatable: Vec<String>,
 }
@@ -108,11 +108,11 @@
 pub struct Server {
     /// Its data hall.
     pub hall: ids::Hall,
-    /// Where it serves.
+    /// The address where it serves requests.
     pub address: Address,
 }
 
-/// The order in which waiting requests are served.
+/// The priority of a request while it waits.
 #[derive(
     Debug,
     Clone,
@@ -134,7 +134,7 @@
     /// The usual priority.
     #[default]
     Normal,
-    /// Work that may wait.
+    /// Requests that can wait.
     Batch,
 }
 
@@ -169,8 +169,8 @@
     /// No engine is given more than this multiple of the mean. Default 1.25.
     #[schemars(range(min = 1.0, max = 10.0))]
     pub multiple: f64,
-    /// New chats go to engines below this multiple of the mean, so that there
-    /// is room left for chats that return to theirs. Default 1.1.
+    /// New chats go to engines below this multiple of the mean, which leaves room
+    /// for chats that return to their engine. Default 1.1.
     #[schemars(range(min = 1.0, max = 10.0))]
     pub aim: f64,
     /// Requests that an engine may always be given, whatever the mean. Default 4.
@@ -179,10 +179,10 @@
     /// Requests that an engine runs at once. Default 32.
     #[schemars(range(min = 1, max = 10_000))]
     pub slots: u32,
-    /// Waiting requests that one account may have before one pool. Default 256.
+    /// Requests of one account that may wait for one pool. Default 256.
     #[schemars(range(min = 0, max = 100_000))]
     pub queue: u32,
-    /// Longest time that a request waits before a pool. Default 20000.
+    /// Longest time that a request waits for a pool. Default 20000.
     pub wait_ms: Millis,
 }
 
@@ -234,32 +234,33 @@
     }
 }
 
-/// A share of the traffic that stays on an old back end.
+/// A share of the traffic that stays on an old backend.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Old {
-    /// The model whose traffic is shared out.
+    /// The model whose traffic is divided.
     pub model: ids::Model,
     /// Only this account's traffic; all accounts if left out.
     #[serde(default)]
     pub account: Option<ids::Account>,
-    /// Share that goes to the old back end, in percent of chats.
+    /// The share that goes to the old backend, in percent of chats.
     #[schemars(range(min = 0, max = 100))]
     pub percent: u8,
-    /// Where the old back end serves.
+    /// The address where the old backend serves requests.
     pub address: Address,
 }
 
 /// The document as the store keeps it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Grows by one with every accepted change.
+    /// The document's generation, which grows by one with every accepted change.
     pub generation: ids::Generation,
-    /// Random id of the change, to recognise it when a reply was lost.
+    /// The random id of the change, by which its sender recognises it in the store
+    /// if the answer to its write was lost.
     pub apply: ids::Request,
     /// Who applied it.
     pub author: String,
-    /// When it was accepted, milliseconds since the Unix epoch.
+    /// When it was accepted, in milliseconds since the Unix epoch.
     pub at_ms: u64,
     /// The document.
     pub document: Document,
@@ -289,11 +290,11 @@
         let models = names(value, "models");
         let services = names(value, "services");
         let accounts = names(value, "accounts");
-        duplicates(&halls, "/halls", "", report);
-        duplicates(&models, "/models", "/name", report);
-        duplicates(&names(value, "engines"), "/engines", "/name", report);
-        duplicates(&services, "/services", "/name", report);
-        duplicates(&accounts, "/accounts", "/name", report);
+        check_duplicates(&halls, "/halls", "", report);
+        check_duplicates(&models, "/models", "/name", report);
+        check_duplicates(&names(value, "engines"), "/engines", "/name", report);
+        check_duplicates(&services, "/services", "/name", report);
+        check_duplicates(&accounts, "/accounts", "/name", report);
         check_engines(value, &halls, &models, report);
         check_services(value, &halls, report);
         check_accounts(value, &models, &services, report);
@@ -326,7 +327,7 @@
         .collect()
 }
 
-fn duplicates(found: &[&str], list: &str, field: &str, report: &mut Report) {
+fn check_duplicates(found: &[&str], list: &str, field: &str, report: &mut Report) {
     let mut seen = BTreeSet::new();
     for (index, name) in found.iter().enumerate() {
         if !seen.insert(*name) {
@@ -336,7 +337,7 @@
     }
 }
 
-fn known(pointer: String, found: Option<&Value>, allowed: &[&str], report: &mut Report) {
+fn check_reference(pointer: String, found: Option<&Value>, allowed: &[&str], report: &mut Report) {
     let Some(name) = found.and_then(Value::as_str) else {
         return;
     };
@@ -356,8 +357,8 @@
     let mut addresses = BTreeSet::new();
     for (index, engine) in entries(value, "engines").iter().enumerate() {
         let at = format!("/engines/{index}");
-        known(format!("{at}/hall"), engine.get("hall"), halls, report);
-        known(format!("{at}/model"), engine.get("model"), models, report);
+        check_reference(format!("{at}/hall"), engine.get("hall"), halls, report);
+        check_reference(format!("{at}/model"), engine.get("model"), models, report);
         check_address(value, &format!("{at}/address"), report);
         let address = engine.get("address").and_then(Value::as_str);
         if address.is_some_and(|address| !addresses.insert(address)) {
@@ -371,7 +372,7 @@
     for (index, service) in entries(value, "services").iter().enumerate() {
         for (nth, server) in entries(service, "servers").iter().enumerate() {
             let at = format!("/services/{index}/servers/{nth}");
-            known(format!("{at}/hall"), server.get("hall"), halls, report);
+            check_reference(format!("{at}/hall"), server.get("hall"), halls, report);
             check_address(value, &format!("{at}/address"), report);
         }
     }
@@ -381,11 +382,11 @@
     for (index, account) in entries(value, "accounts").iter().enumerate() {
         for (nth, model) in entries(account, "models").iter().enumerate() {
             let pointer = format!("/accounts/{index}/models/{nth}");
-            known(pointer, Some(model), models, report);
+            check_reference(pointer, Some(model), models, report);
         }
         for (nth, service) in entries(account, "services").iter().enumerate() {
             let pointer = format!("/accounts/{index}/services/{nth}");
-            known(pointer, Some(service), services, report);
+            check_reference(pointer, Some(service), services, report);
         }
     }
 }
@@ -393,8 +394,8 @@
 fn check_old(value: &Value, models: &[&str], accounts: &[&str], report: &mut Report) {
     for (index, old) in entries(value, "old").iter().enumerate() {
         let at = format!("/old/{index}");
-        known(format!("{at}/model"), old.get("model"), models, report);
-        known(
+        check_reference(format!("{at}/model"), old.get("model"), models, report);
+        check_reference(
             format!("{at}/account"),
             old.get("account"),
             accounts,
--- a/crates/config/src/key.rs
+++ b/crates/config/src/key.rs
@@ -1,5 +1,5 @@
-//! Secrets and their hashes. A secret is never shown: `Debug` prints a
-//! placeholder, and no `Display` exists.
+//! Secrets and their hashes. A secret is never printed: its `Debug` prints a
+//! placeholder, and it has no `Display`.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -9,7 +9,7 @@
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-/// Bytes of a secret key.
+/// Length of a secret key in bytes.
 pub const SECRET_BYTES: usize = 32;
 
 /// A 32-byte secret, written as 64 hexadecimal digits.
@@ -22,7 +22,7 @@
         Self(bytes)
     }
 
-    /// The bytes, for a cipher or a MAC only.
+    /// The bytes, to be used only in a cipher or a MAC.
     pub fn bytes(&self) -> &[u8; SECRET_BYTES] {
         &self.0
     }
@@ -39,7 +39,7 @@
 pub struct Hash([u8; 32]);
 
 impl Hash {
-    /// The hash of a bearer key as the caller sends it.
+    /// The hash of a bearer key as the client sends it.
     pub fn of(bearer: &str) -> Self {
         Self(Sha256::digest(bearer.as_bytes()).into())
     }
@@ -84,7 +84,7 @@
             fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
                 let text = String::deserialize(deserializer)?;
                 let mut bytes = [0; 32];
-                // The text itself stays out of the message: it may be a secret.
+                // The message does not contain the text, which may be a secret.
                 hex::decode_to_slice(&text, &mut bytes)
                     .map_err(|_| serde::de::Error::custom("not 64 hexadecimal digits"))?;
                 Ok(Self(bytes))
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,9 +1,9 @@
-//! Process settings and the fleet document, checked whole.
+//! Process settings and the fleet document, and the checks of both.
 //!
-//! [`settings`] is what one process needs to start: its addresses, its hall
-//! and its keys. [`document`] is what operators declare for the whole fleet
-//! and what the platform's store keeps. Both are read through [`check`], which
-//! reports every fault of a file at once.
+//! [`settings`] holds what one process needs to start: its addresses, its hall and
+//! its keys. [`document`] holds what operators declare for the whole fleet, which
+//! the platform's store keeps. Both are read through [`check`], which reports all
+//! faults of a file at once.
 
 pub mod check;
 pub mod document;
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,7 +1,7 @@
 //! The settings of one process of a box: its place, addresses, keys and
 //! timers.
 //!
-//! A settings file is JSON. Every knob that has a default may be left out.
+//! A settings file is JSON. Every setting that has a default may be left out.
 //! Flags and environment variables override the addresses, the box and the
 //! hall; see `tidepier-router --help`.
 
@@ -82,7 +82,7 @@
 }
 
 /// Longest time span in milliseconds: a day.
-const MILLIS_MOST: u64 = 86_400_000;
+const MILLIS_MAX: u64 = 86_400_000;
 
 /// A time span of 1 ms to a day, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, JsonSchema)]
@@ -92,9 +92,9 @@
 impl<'de> Deserialize<'de> for Millis {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         match u64::deserialize(deserializer)? {
-            millis @ 1..=MILLIS_MOST => Ok(Self(millis)),
+            millis @ 1..=MILLIS_MAX => Ok(Self(millis)),
             other => Err(serde::de::Error::custom(format!(
-                "found {other}; allowed: 1 to {MILLIS_MOST}"
+                "found {other}; allowed: 1 to {MILLIS_MAX}"
             ))),
         }
     }
@@ -124,7 +124,7 @@
     pub name: ids::Box,
     /// The data hall of this box.
     pub hall: ids::Hall,
-    /// Where callers connect.
+    /// Where clients connect.
     pub callers: Address,
     /// Where other boxes connect.
     pub peers: Address,
@@ -177,46 +177,46 @@
 tuning! {
     /// Time between heartbeats to one neighbour. Default 500.
     heartbeat_ms: Millis = Millis(500),
-    /// Silence after which a neighbour is suspected. Default 1500.
+    /// Time without an answer after which a neighbour is suspected. Default 1500.
     suspect_ms: Millis = Millis(1500),
     /// Time from suspicion to removal. Default 2500: a box frozen for 2 s stays.
     remove_ms: Millis = Millis(2500),
     /// Neighbours that a box sends heartbeats to. Default 3.
     neighbours: usize = 3,
-    /// Time between reads of the platform's box list by a box that knows no
-    /// other; later two boxes of a hall read it, more seldom in larger fleets.
+    /// Time between reads of the platform's box list by a box that knows no other
+    /// box. Otherwise two boxes of a hall read it, less often in larger fleets.
     /// Default 2000.
     boxes_ms: Millis = Millis(2000),
-    /// Time between reads of an engine's load report by its keeper. A keeper
-    /// that has just begun reads ten times as often. Default 5000.
+    /// Time between reads of an engine's load report by the keeper of its pool. A
+    /// new keeper reads ten times as often at first. Default 5000.
     probe_ms: Millis = Millis(5000),
     /// Time after which an unanswered call to the store is given up. Default 2000.
     store_ms: Millis = Millis(2000),
     /// Time a new keeper waits for reports of open slots. Default 1000.
     takeover_ms: Millis = Millis(1000),
-    /// Time a caller has to send its head, and to send each part of its body. Default 10000.
+    /// Time a client has to send its head, and to send each part of its body. Default 10000.
     header_ms: Millis = Millis(10_000),
-    /// Time a caller may leave its answer unread. Default 15000.
+    /// Time a client may leave its answer unread. Default 15000.
     stall_ms: Millis = Millis(15_000),
     /// Time a kept-alive connection may be idle. Default 60000.
     idle_ms: Millis = Millis(60_000),
     /// Largest request body in bytes. Default 4 MiB.
     body_bytes: u64 = 4 << 20,
-    /// Largest number of open caller connections. Default 4096.
+    /// Largest number of open client connections. Default 4096.
     connections: usize = 4096,
     /// Deadline of a request that names none. Default 120000.
     deadline_ms: Millis = Millis(120_000),
-    /// Time an abandoned stream is kept for its caller to come back. Default 3000.
+    /// Time a stream whose client disconnected is kept for the client to resume it. Default 3000.
     linger_ms: Millis = Millis(3000),
-    /// Time in which a stopping box still serves what arrives: longer than the
-    /// balancer takes to notice. Default 3000.
+    /// Time in which a stopping box still serves new requests: longer than the
+    /// balancer takes to notice the stop. Default 3000.
     grace_ms: Millis = Millis(3000),
-    /// Time a planned stop waits for open streams. Default 60000.
+    /// Time a graceful shutdown waits for open streams. Default 60000.
     stop_ms: Millis = Millis(60_000),
     /// Shortest time between two writes of one page of claims: it bounds the
     /// store's writes at 16 pages over this time. Default 50.
     claim_pause_ms: Millis = Millis(50),
-    /// Time that claims of not-repeatable requests are kept. Default one day.
+    /// Time that claims of requests that must not be repeated are kept. Default one day.
     claim_ms: Millis = Millis(86_400_000),
     /// Spans and decisions kept for `tidepier explain`. Default 4096.
     ring: usize = 4096,
--- a/tests/all/documents.rs
+++ b/tests/all/documents.rs
@@ -1,4 +1,4 @@
-//! Pages of docs that have to agree with the code.
+//! Tests that the pages in `docs` and the examples agree with the code.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -14,7 +14,7 @@
     fs::read_to_string(root().join(path)).unwrap_or_else(|error| panic!("{path}: {error}"))
 }
 
-/// The table as `docs/ERRORS.md` has to hold it.
+/// The table that `docs/ERRORS.md` has to contain.
 fn errors_table() -> String {
     let mut table = String::from("| kind | status | ran | Retry-After | exit | meaning |\n");
     table.push_str("| --- | --- | --- | --- | --- | --- |\n");
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn kinds_that_say_not_run_come_back_from_their_names() {
+fn kinds_are_parsed_from_their_names() {
     for kind in Kind::ALL {
         assert_eq!(kind.name().parse(), Ok(*kind));
     }
@@ -83,7 +83,7 @@
     }
 }
 
-/// Names in backquotes of the column `tests` in `docs/PROMISES.md`.
+/// The names in backquotes on the lines of `docs/PROMISES.md` that list tests.
 fn promised_tests() -> Vec<String> {
     let page = read("docs/PROMISES.md");
     let tests = page.lines().filter_map(|line| line.strip_prefix("Tests: "));
--- a/tests/all/settings.rs
+++ b/tests/all/settings.rs
@@ -1,5 +1,5 @@
-//! Checked files: all faults at once, each with the field, what was found and
-//! what is allowed.
+//! Tests of the checks of settings and documents: all faults are reported at once,
+//! each with its field, what was found and what is allowed.
 
 use proptest::prelude::*;
 use serde_json::{json, Value};
@@ -9,7 +9,7 @@
 
 use crate::streams::config;
 
-fn made() -> Fleet {
+fn sample_fleet() -> Fleet {
     Fleet::new(&Size {
         user: User::Safi,
         boxes: 1,
@@ -23,7 +23,7 @@
 }
 
 fn faults_of_settings(change: impl FnOnce(&mut Value)) -> String {
-    let mut value = serde_json::to_value(&made().boxes[0]).unwrap();
+    let mut value = serde_json::to_value(&sample_fleet().boxes[0]).unwrap();
     change(&mut value);
     match check::parse::<Settings>(&value.to_string()) {
         Ok(_) => "valid".into(),
@@ -32,7 +32,7 @@
 }
 
 fn faults_of_document(change: impl FnOnce(&mut Value)) -> String {
-    let mut value = serde_json::to_value(&made().document).unwrap();
+    let mut value = serde_json::to_value(&sample_fleet().document).unwrap();
     change(&mut value);
     match check::parse::<Document>(&value.to_string()) {
         Ok(_) => "valid".into(),
@@ -77,7 +77,7 @@
 
 #[test]
 fn secrets_stay_out_of_messages_and_debug_output() {
-    let settings = made().boxes.remove(0);
+    let settings = sample_fleet().boxes.remove(0);
     let secret = serde_json::to_value(&settings.link_keys[0]).unwrap();
     let secret = secret.as_str().unwrap().to_string();
     assert!(!format!("{settings:?}").contains(&secret));
@@ -85,7 +85,8 @@
     assert!(!text.contains(&secret), "{text}");
 }
 
-/// The lean check takes and refuses what the full one does.
+/// The check that avoids compiling the schema accepts and refuses the same files
+/// as the full one, and reports the same faults.
 #[test]
 fn the_lean_check_agrees_with_the_full_one() {
     let changes: [(&str, Value); 9] = [
@@ -99,7 +100,7 @@
         ("/tuning/neighbours", json!(-1)),
         ("/operator_keys", json!("none")),
     ];
-    let whole = serde_json::to_value(&made().boxes[0]).unwrap();
+    let whole = serde_json::to_value(&sample_fleet().boxes[0]).unwrap();
     assert!(check::parse_lean::<Settings>(&whole.to_string()).is_ok());
     for (field, found) in changes {
         let mut value = whole.clone();
@@ -114,13 +115,13 @@
     #![proptest_config(config(256))]
 
     #[test]
-    fn no_text_breaks_the_check(text in "\\PC{0,300}") {
+    fn no_text_crashes_the_check(text in "\\PC{0,300}") {
         let _ = check::parse::<Settings>(&text);
         let _ = check::parse::<Document>(&text);
     }
 
     #[test]
-    fn no_change_of_a_field_breaks_the_check(field in 0..12usize, number in any::<i64>(), text in "\\PC{0,20}") {
+    fn no_change_of_a_field_crashes_the_check(field in 0..12usize, number in any::<i64>(), text in "\\PC{0,20}") {
         faults_of_document(|value| {
             let object = value.as_object_mut().unwrap();
             let keys: Vec<String> = object.keys().cloned().collect();
