--- a/tests/all/orders.rs
+++ b/tests/all/orders.rs
@@ -1,5 +1,5 @@
-//! Orders to engines: they converge to the document, and a holder that slept
-//! past its lease orders nothing.
+//! Tests of the steward: engines converge to the document, and a holder of the
+//! duty that was suspended beyond the end of its lease sends no orders.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     let _steward = fleet.steward(0);
     let old = fleet.made.document.models[0].version.clone();
     fleet.wait("the first version", || fleet.loaded(&old));
-    // An engine refuses for a while, and the store goes.
+    // One engine rejects the next three requests.
     fleet.engine(1).engine().switches.set(Faults {
         refuse: 3,
         ..Faults::default()
@@ -66,10 +66,16 @@
     let settings = &fleet.made.boxes[0];
     let pool = tidepier_http::client::Pool::new();
     let store = tidepier_store::etcd::Client::new(pool, settings.platform.store.0);
-    let limit = Duration::from_millis(500);
+    let timeout = Duration::from_millis(500);
     let duty = |index: usize| {
         let name = fleet.made.boxes[index].name.clone();
-        Duty::new(store.clone(), limit, &settings.fleet, &settings.hall, name)
+        Duty::new(
+            store.clone(),
+            timeout,
+            &settings.fleet,
+            &settings.hall,
+            name,
+        )
     };
     let (one, other) = (duty(0), duty(1));
     let first = smol::block_on(one.take())
