--- a/crates/standin/src/admin.rs
+++ b/crates/standin/src/admin.rs
@@ -1,4 +1,5 @@
-//! The admin port: switches, kills, and what was measured.
+//! The admin port: injects faults, kills and starts parts, and shows what was
+//! measured.
 //!
 //! * `PUT /faults/PART` with a JSON [`Faults`]; `PART` is `store`, `boxes`,
 //!   `engine/NAME` or `service/NAME/INDEX`.
@@ -20,7 +21,7 @@
 use crate::faults::Faults;
 use crate::fleet::Fleet;
 
-/// Serves a [`Fleet`]'s switches.
+/// HTTP handler of the admin port of a [`Fleet`].
 pub struct Door(pub Arc<Fleet>);
 
 impl Handler for Door {
--- a/crates/standin/src/bin/tidepier-standin.rs
+++ b/crates/standin/src/bin/tidepier-standin.rs
@@ -1,4 +1,4 @@
-//! Runs the stand-ins as one process, for the demo and for measurement.
+//! Runs all stand-ins in one process, for the demo and for measurement.
 
 use std::path::PathBuf;
 use std::sync::Arc;
--- a/crates/standin/src/boxes.rs
+++ b/crates/standin/src/boxes.rs
@@ -1,5 +1,5 @@
-//! The platform's list of boxes: it lags, and each reader may be shown a list
-//! of its own.
+//! The platform's list of boxes. Changes show after a delay, and a reader can
+//! be given a list of its own.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -10,7 +10,7 @@
 use tidepier_http::server::{Handler, Reply};
 use tidepier_store::boxes::List;
 
-use crate::faults::{Strike, Switches};
+use crate::faults::{Counted, Switches};
 
 #[derive(Debug, Default)]
 struct Data {
@@ -19,11 +19,11 @@
     by_reader: BTreeMap<String, List>,
 }
 
-/// The list.
+/// The list of boxes.
 #[derive(Debug, Default)]
 pub struct Boxes {
     data: Mutex<Data>,
-    /// Faults.
+    /// Faults to inject.
     pub switches: Switches,
 }
 
@@ -40,7 +40,8 @@
         self.lock().next = Some((Instant::now() + lag, list));
     }
 
-    /// Shows `list` to one reader only; `None` ends that.
+    /// Shows `list` to one reader only; with `None` the reader sees the common
+    /// list again.
     pub fn set_for(&self, reader: &str, list: Option<List>) {
         let mut data = self.lock();
         match list {
@@ -68,13 +69,13 @@
     }
 }
 
-/// Serves a [`Boxes`].
+/// HTTP handler of a [`Boxes`].
 pub struct Door(pub Arc<Boxes>);
 
 impl Handler for Door {
     async fn handle(&self, request: Request) -> Reply {
         self.0.switches.pause().await;
-        if self.0.switches.strikes(Strike::Refuse) {
+        if self.0.switches.consume(Counted::Refuse) {
             return Reply::text(503, "refused by switch".into());
         }
         let query = request.url().query_pairs();
--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -1,5 +1,5 @@
-//! Continuous batching: one step after another, each giving every running
-//! sequence one token, slower as the batch grows.
+//! Continuous batching: each step adds one token to every running sequence whose
+//! prefill is done. A step takes longer the larger the batch is.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -17,10 +17,10 @@
 use crate::group::{Gauge, Group};
 use crate::oracle;
 
-/// Time that an ended sequence can still be read.
-const KEEP: Duration = Duration::from_secs(60);
+/// Time for which a finished sequence can still be read.
+const SEQUENCE_RETENTION: Duration = Duration::from_secs(60);
 
-/// The make of an engine.
+/// Speed and sizes of an engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Spec {
@@ -28,11 +28,11 @@
     pub step_us: u64,
     /// Added to a step for each running sequence, in microseconds. Default 30.
     pub each_us: u64,
-    /// Prompt tokens that a step can take in. Default 512.
+    /// Prompt tokens that one step can prefill. Default 512.
     pub prefill: u64,
     /// Sequences that run at once; more wait. Default 64.
     pub running: usize,
-    /// Tokens of the prefix cache. Default 200000.
+    /// Size of the prefix cache in tokens. Default 200000.
     pub cache_tokens: u64,
     /// Age of a load report in milliseconds. Default 250.
     pub report_lag_ms: u64,
@@ -54,14 +54,14 @@
     }
 }
 
-/// One answer in the making.
+/// One answer that the engine generates.
 #[derive(Debug)]
 pub struct Sequence {
-    /// The request.
+    /// The request's id.
     pub id: ids::Request,
     /// The seed of the answer.
     pub seed: u64,
-    /// First offset made here.
+    /// Offset of the first token that this engine generates.
     pub first: u64,
     /// Offset at which the answer ends.
     pub total: u64,
@@ -71,26 +71,26 @@
     pub cached: u64,
     /// Tokens of the prompt that the best engine of the model had cached.
     pub best: u64,
-    /// Offset reached.
+    /// Offset up to which tokens have been generated.
     pub made: AtomicU64,
-    /// Set when the sequence was cancelled or the engine died.
-    pub broken: AtomicBool,
+    /// Set when the sequence was cancelled or the engine killed.
+    pub aborted: AtomicBool,
     /// Readers attached so far.
     pub readers: AtomicU64,
-    /// Signals each token.
-    pub grown: Event,
-    names: Vec<u64>,
+    /// Notified after each token, and when the sequence is aborted.
+    pub progressed: Event,
+    hashes: Vec<u64>,
     priority: u8,
 }
 
 impl Sequence {
-    /// Whether all tokens are made.
-    pub fn whole(&self) -> bool {
+    /// Whether all tokens have been generated.
+    pub fn is_complete(&self) -> bool {
         self.made.load(Ordering::SeqCst) >= self.total
     }
 
-    fn ends(&self) -> bool {
-        self.whole() || self.broken.load(Ordering::SeqCst)
+    fn finished(&self) -> bool {
+        self.is_complete() || self.aborted.load(Ordering::SeqCst)
     }
 }
 
@@ -106,7 +106,7 @@
     known: HashMap<ids::Request, (Arc<Sequence>, Option<Instant>)>,
 }
 
-/// What the engine reports of its load.
+/// The engine's report of its load.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Report {
     /// Sequences that run.
@@ -117,32 +117,32 @@
     pub cached_tokens: u64,
 }
 
-/// The caches of all engines of a model: what the best of them holds is the
-/// upper bound on reuse.
+/// The caches of all engines of a model. What the best of them holds of a prompt
+/// is the upper bound on the tokens that a request could reuse.
 #[derive(Debug, Default)]
 pub struct Caches(Mutex<Vec<Arc<Mutex<Cache>>>>);
 
 impl Caches {
     /// Tokens of a prompt that the best engine has cached.
-    fn best(&self, names: &[u64]) -> u64 {
+    fn best(&self, hashes: &[u64]) -> u64 {
         let caches = lock(&self.0);
         caches
             .iter()
-            .map(|cache| lock(cache).hit(names))
+            .map(|cache| lock(cache).hit(hashes))
             .max()
             .unwrap_or(0)
     }
 }
 
-/// The engine.
+/// A model engine.
 pub struct Engine {
     /// Its name.
     pub name: ids::Engine,
-    /// Its make.
+    /// Its speed and sizes.
     pub spec: Spec,
-    /// Faults.
+    /// Faults to inject.
     pub switches: Switches,
-    /// Orders taken.
+    /// Orders accepted.
     pub orders: Mutex<Orders>,
     work: Mutex<Work>,
     cache: Arc<Mutex<Cache>>,
@@ -155,7 +155,7 @@
     pub started: AtomicU64,
 }
 
-/// A request as the engine takes it.
+/// A request to start a sequence.
 pub struct Start {
     /// Its id.
     pub id: ids::Request,
@@ -163,7 +163,7 @@
     pub prompt: String,
     /// The seed of the answer.
     pub seed: u64,
-    /// First offset to make.
+    /// Offset of the first token to generate.
     pub first: u64,
     /// Offset at which the answer ends.
     pub total: u64,
@@ -203,11 +203,11 @@
         })
     }
 
-    /// Takes a request; `None` when its id is known already.
+    /// Starts a sequence; `None` when the request's id is known already.
     pub fn start(&self, start: Start) -> Option<Arc<Sequence>> {
-        let names = Cache::names(&start.prompt);
-        let cached = lock(&self.cache).hit(&names);
-        let best = self.caches.best(&names).max(cached);
+        let hashes = Cache::block_hashes(&start.prompt);
+        let cached = lock(&self.cache).hit(&hashes);
+        let best = self.caches.best(&hashes).max(cached);
         let prompt = oracle::tokens(&start.prompt);
         let sequence = Arc::new(Sequence {
             id: start.id,
@@ -218,10 +218,10 @@
             cached: cached.min(prompt),
             best: best.min(prompt),
             made: AtomicU64::new(start.first),
-            broken: AtomicBool::new(false),
+            aborted: AtomicBool::new(false),
             readers: AtomicU64::new(0),
-            grown: Event::new(),
-            names,
+            progressed: Event::new(),
+            hashes,
             priority: start.priority,
         });
         let mut work = lock(&self.work);
@@ -237,12 +237,13 @@
         Some(sequence)
     }
 
-    /// The running count, for groups.
+    /// The load, for groups.
     pub fn gauge(&self) -> &Arc<Gauge> {
         &self.gauge
     }
 
-    /// A request that runs or ended a short while ago.
+    /// The sequence of a request that is in flight, or that ended less than
+    /// [`SEQUENCE_RETENTION`] ago.
     pub fn find(&self, id: ids::Request) -> Option<Arc<Sequence>> {
         lock(&self.work)
             .known
@@ -250,7 +251,8 @@
             .map(|(sequence, _)| sequence.clone())
     }
 
-    /// Cancels a request, unless a reader after `reader` has attached.
+    /// Cancels a request, unless a reader with a higher number than `reader` has
+    /// attached; whether it was cancelled.
     pub fn cancel(&self, id: ids::Request, reader: u64) -> bool {
         let Some(sequence) = self.find(id) else {
             return false;
@@ -258,18 +260,18 @@
         if sequence.readers.load(Ordering::SeqCst) > reader {
             return false;
         }
-        sequence.broken.store(true, Ordering::SeqCst);
-        sequence.grown.notify(usize::MAX);
+        sequence.aborted.store(true, Ordering::SeqCst);
+        sequence.progressed.notify(usize::MAX);
         true
     }
 
-    /// Forgets everything, as a killed process does.
-    pub fn die(&self) {
+    /// Drops all sequences and the cache, as a killed process does.
+    pub fn reset(&self) {
         let mut work = lock(&self.work);
         for (sequence, ended) in work.known.values() {
             if ended.is_none() {
-                sequence.broken.store(true, Ordering::SeqCst);
-                sequence.grown.notify(usize::MAX);
+                sequence.aborted.store(true, Ordering::SeqCst);
+                sequence.progressed.notify(usize::MAX);
                 self.group.end(&self.gauge);
             }
         }
@@ -278,7 +280,7 @@
         *lock(&self.cache) = Cache::new(self.spec.cache_tokens, lag);
     }
 
-    /// The load report, which lags.
+    /// The load report, delayed: a call shows what an earlier call found.
     pub fn report(&self) -> Report {
         let mut kept = lock(&self.report);
         let lag = Duration::from_millis(self.spec.report_lag_ms);
@@ -301,7 +303,7 @@
         lock(&self.cache)
     }
 
-    /// Runs step after step for ever.
+    /// Runs one step after another until the task is dropped.
     pub async fn run(self: Arc<Self>) {
         loop {
             let listener = self.wake.listen();
@@ -312,7 +314,7 @@
             }
             let micros = self.spec.step_us + self.spec.each_us * batch as u64;
             Timer::after(Duration::from_micros(micros)).await;
-            self.switches.thawed().await;
+            self.switches.wait_while_frozen().await;
             self.step();
         }
     }
@@ -345,23 +347,23 @@
                 continue;
             }
             running.sequence.made.fetch_add(1, Ordering::SeqCst);
-            running.sequence.grown.notify(usize::MAX);
+            running.sequence.progressed.notify(usize::MAX);
         }
         let (ended, running): (Vec<_>, Vec<_>) = work
             .running
             .drain(..)
-            .partition(|running| running.sequence.ends());
+            .partition(|running| running.sequence.finished());
         work.running = running;
         let now = Instant::now();
         for done in ended {
             self.group.end(&self.gauge);
-            lock(&self.cache).store(&done.sequence.names);
+            lock(&self.cache).store(&done.sequence.hashes);
             if let Some(known) = work.known.get_mut(&done.sequence.id) {
                 known.1 = Some(now);
             }
         }
         work.known
-            .retain(|_, (_, ended)| ended.is_none_or(|at| now - at < KEEP));
+            .retain(|_, (_, ended)| ended.is_none_or(|at| now - at < SEQUENCE_RETENTION));
     }
 }
 
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -1,5 +1,5 @@
-//! The prefix cache: blocks of tokens, each named by the hash of all text up
-//! to its end, kept by least recent use.
+//! The prefix cache: blocks of tokens, each identified by the hash of all text up
+//! to its end. The least recently used block is evicted.
 
 use std::collections::VecDeque;
 use std::num::NonZeroUsize;
@@ -13,19 +13,19 @@
 
 /// Tokens of one block.
 pub const BLOCK_TOKENS: u64 = 64;
-/// Changes kept for readers.
-const CHANGES: usize = 4096;
-/// Every so many changes one is never published.
-const GAP_EVERY: u64 = 50;
+/// Published changes that are kept for readers.
+const CHANGES_MAX: usize = 4096;
+/// One change in this many is never published, which leaves a gap in the numbers.
+const GAP_INTERVAL: u64 = 50;
 
 /// A change of the cache, as published.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Its number; numbers may be missing.
+    /// Its number; there may be gaps between numbers.
     pub number: u64,
-    /// The block.
+    /// The block's hash.
     pub block: u64,
-    /// Whether it was stored or dropped.
+    /// Whether the block was stored; otherwise it was evicted.
     pub stored: bool,
 }
 
@@ -50,45 +50,45 @@
         }
     }
 
-    /// The names of the whole blocks of a text.
-    pub fn names(text: &str) -> Vec<u64> {
+    /// The hashes of the complete blocks of a text.
+    pub fn block_hashes(text: &str) -> Vec<u64> {
         let size = (BLOCK_TOKENS * TOKEN_BYTES) as usize;
-        let mut name = 0;
+        let mut hash = 0;
         let whole = text.as_bytes().chunks_exact(size);
         whole
             .map(|block| {
-                name = xxh3_64_with_seed(block, name);
-                name
+                hash = xxh3_64_with_seed(block, hash);
+                hash
             })
             .collect()
     }
 
-    /// Tokens at the start of `names` that are cached.
-    pub fn hit(&self, names: &[u64]) -> u64 {
-        let cached = names.iter().take_while(|name| self.blocks.contains(name));
+    /// Number of tokens in the cached blocks at the start of `hashes`.
+    pub fn hit(&self, hashes: &[u64]) -> u64 {
+        let cached = hashes.iter().take_while(|hash| self.blocks.contains(hash));
         cached.count() as u64 * BLOCK_TOKENS
     }
 
-    /// Stores blocks. The start of a text is used last, so that its end is
-    /// dropped first.
-    pub fn store(&mut self, names: &[u64]) {
-        for name in names.iter().rev() {
-            if self.blocks.get(name).is_some() {
+    /// Stores the blocks of a text, the last block first, so that the end of the
+    /// text is evicted before its start.
+    pub fn store(&mut self, hashes: &[u64]) {
+        for hash in hashes.iter().rev() {
+            if self.blocks.get(hash).is_some() {
                 continue;
             }
-            if let Some((dropped, ())) = self.blocks.push(*name, ()) {
+            if let Some((dropped, ())) = self.blocks.push(*hash, ()) {
                 self.publish(dropped, false);
             }
-            self.publish(*name, true);
+            self.publish(*hash, true);
         }
     }
 
-    /// Blocks held.
+    /// Number of cached blocks.
     pub fn len(&self) -> usize {
         self.blocks.len()
     }
 
-    /// Whether nothing is held.
+    /// Whether no block is cached.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
@@ -106,7 +106,7 @@
 
     fn publish(&mut self, block: u64, stored: bool) {
         self.number += 1;
-        if self.number.is_multiple_of(GAP_EVERY) {
+        if self.number.is_multiple_of(GAP_INTERVAL) {
             return;
         }
         let change = Change {
@@ -115,7 +115,7 @@
             stored,
         };
         self.changes.push_back((Instant::now(), change));
-        if self.changes.len() > CHANGES {
+        if self.changes.len() > CHANGES_MAX {
             self.changes.pop_front();
         }
     }
--- a/crates/standin/src/engine/door.rs
+++ b/crates/standin/src/engine/door.rs
@@ -1,4 +1,4 @@
-//! The engine's HTTP doors.
+//! The HTTP interface of an engine.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -14,15 +14,15 @@
 
 use super::batch::{Engine, Sequence, Start};
 use super::orders::Order;
-use crate::faults::Strike;
+use crate::faults::Counted;
 use crate::oracle::{self, Message};
 
-/// Largest body in bytes.
-const BODY_BYTES: u64 = 16 << 20;
-/// Tokens of an answer whose request sets no limit.
+/// Largest request body in bytes.
+const BODY_BYTES_MAX: u64 = 16 << 20;
+/// Tokens of the answer to a request without `max_tokens`.
 const TOKENS_DEFAULT: u64 = 64;
-/// Time for a body to arrive.
-const BODY_TIME: Duration = Duration::from_secs(10);
+/// Time-out for reading a request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 #[derive(Deserialize)]
 struct Chat {
@@ -38,15 +38,15 @@
     blocks: Vec<u64>,
 }
 
-/// Serves an [`Engine`].
+/// HTTP handler of an [`Engine`].
 pub struct Door(pub Arc<Engine>);
 
 impl Handler for Door {
     async fn handle(&self, mut request: Request) -> Reply {
         let engine = &self.0;
-        let read = body::read(&mut request, BODY_BYTES, BODY_TIME).await;
+        let read = body::read(&mut request, BODY_BYTES_MAX, BODY_TIMEOUT).await;
         engine.switches.pause().await;
-        if engine.switches.strikes(Strike::Refuse) {
+        if engine.switches.consume(Counted::Refuse) {
             return Reply::text(503, "refused by switch".into());
         }
         let path = request.url().path().to_string();
@@ -161,7 +161,8 @@
         Reply {
             response,
             pump: Some(Box::pin(async move {
-                // The reader may leave at any time; that is its affair.
+                // A failed write means that the client has closed the
+                // connection, which it may do at any time.
                 let _ = writing.await;
             })),
         }
@@ -174,16 +175,16 @@
     from: u64,
     mut sender: events::Sender,
 ) -> std::io::Result<()> {
-    let cut = engine.switches.strikes(Strike::Cut).then_some(from + 3);
-    let cross = engine.switches.strikes(Strike::Cross).then_some(from + 2);
-    let repeat = engine.switches.strikes(Strike::Repeat).then_some(from + 2);
-    let gap = engine.switches.strikes(Strike::Gap).then_some(from + 2);
+    let cut = engine.switches.consume(Counted::Cut).then_some(from + 3);
+    let cross = engine.switches.consume(Counted::Cross).then_some(from + 2);
+    let repeat = engine.switches.consume(Counted::Repeat).then_some(from + 2);
+    let gap = engine.switches.consume(Counted::Gap).then_some(from + 2);
     let mut offset = from;
     loop {
-        let listener = sequence.grown.listen();
+        let listener = sequence.progressed.listen();
         let made = sequence.made.load(Ordering::SeqCst).min(sequence.total);
         while offset < made {
-            engine.switches.thawed().await;
+            engine.switches.wait_while_frozen().await;
             if cut == Some(offset) {
                 return Ok(());
             }
@@ -204,12 +205,12 @@
             }
             offset += 1;
         }
-        // Not `sequence.whole()`: tokens may have been made since they were
-        // counted above.
+        // Not `sequence.is_complete()`: more tokens may have been made since
+        // `made` was read above, and they have not been sent yet.
         if offset >= sequence.total {
             break;
         }
-        if sequence.broken.load(Ordering::SeqCst) {
+        if sequence.aborted.load(Ordering::SeqCst) {
             return Ok(());
         }
         listener.await;
@@ -226,7 +227,7 @@
 }
 
 fn chunk(id: ids::Request, text: &str) -> String {
-    // Tokens hold no character that JSON escapes.
+    // Tokens contain no character that JSON would have to escape.
     format!(
         "{{\"id\":\"{id}\",\"object\":\"chat.completion.chunk\",\"choices\":[{{\"index\":0,\
          \"delta\":{{\"content\":\"{text}\"}},\"finish_reason\":null}}]}}"
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -1,6 +1,6 @@
 //! A model engine: continuous batching, a prefix cache, priorities, streams
-//! that can be resumed and cancelled, KV export and import, late cache events,
-//! lagging load reports, and orders.
+//! that can be resumed and cancelled, KV export and import, delayed cache
+//! events and load reports, and orders to load a model.
 
 mod batch;
 mod cache;
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -1,11 +1,11 @@
-//! Orders to an engine: what it has loaded and which order it took last.
+//! Orders to an engine to load a model, and what it has loaded.
 
 use serde::{Deserialize, Serialize};
 
-/// An order.
+/// An order to load a model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// The fencing number of who orders.
+    /// The sender's fencing number.
     pub fencing: u64,
     /// The model.
     pub model: String,
@@ -27,18 +27,20 @@
     pub version: String,
     /// Adapters.
     pub adapters: Vec<String>,
-    /// The fencing number of the last order taken.
+    /// The fencing number of the order accepted last.
     pub fencing: u64,
-    /// Orders taken.
+    /// Orders accepted.
     pub taken: u64,
-    /// Orders with an older number than an earlier one that were taken.
+    /// Orders that were accepted although an earlier one had a higher fencing
+    /// number.
     pub stale: u64,
 }
 
-/// The order book of an engine.
+/// The orders that an engine has accepted.
 #[derive(Debug, Default)]
 pub struct Orders {
-    /// Whether orders with an old number are refused.
+    /// Whether orders with a lower fencing number than an earlier one are
+    /// rejected.
     pub checks: bool,
     /// What is loaded.
     pub loaded: Loaded,
@@ -46,7 +48,7 @@
 }
 
 impl Orders {
-    /// An empty book.
+    /// An engine that has accepted no order yet.
     pub fn new(checks: bool) -> Self {
         Self {
             checks,
@@ -54,11 +56,12 @@
         }
     }
 
-    /// Takes an order, or returns the number that it had to reach.
+    /// Accepts an order, or returns the fencing number that it had to reach.
     ///
     /// # Errors
     ///
-    /// The highest number seen, when this engine checks and the order's is lower.
+    /// The highest fencing number seen, when this engine checks and the order's
+    /// is lower.
     pub fn take(&mut self, order: &Order) -> Result<(), u64> {
         let old = order.fencing < self.highest;
         if old && self.checks {
--- a/crates/standin/src/faults.rs
+++ b/crates/standin/src/faults.rs
@@ -1,4 +1,4 @@
-//! Switches for faults of one part.
+//! Faults to inject in one part.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -7,20 +7,20 @@
 use serde::{Deserialize, Serialize};
 use smol::Timer;
 
-/// The faults of one part; all off by default. Counted faults go off by one
-/// each time they strike.
+/// The faults of one part; all off by default. A counted fault is injected as
+/// many times as its number says, and the number decreases each time.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// Accepts connections and answers nothing, nor makes progress.
+    /// Accepts connections, but sends no answer and makes no progress.
     pub freeze: bool,
     /// Waits before each answer, in milliseconds.
     pub delay_ms: u64,
-    /// Calls that take effect and whose reply is dropped.
+    /// Requests that take effect and whose answer is dropped.
     pub drop_reply: u32,
-    /// Calls that are refused with 503 before any effect.
+    /// Requests that are rejected with 503 before any effect.
     pub refuse: u32,
-    /// Streams that end in mid-body.
+    /// Streams that end in the middle of the body.
     pub cut: u32,
     /// Streams that carry one frame of another request.
     pub cross: u32,
@@ -30,9 +30,9 @@
     pub gap: u32,
 }
 
-/// A counted fault.
+/// A fault with a count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Strike {
+pub enum Counted {
     /// [`Faults::drop_reply`].
     DropReply,
     /// [`Faults::refuse`].
@@ -47,7 +47,7 @@
     Gap,
 }
 
-/// The live switches of a part.
+/// The faults of a running part, which can be changed at any time.
 #[derive(Debug, Default)]
 pub struct Switches {
     faults: Mutex<Faults>,
@@ -55,27 +55,28 @@
 }
 
 impl Switches {
-    /// Sets all switches.
+    /// Replaces all faults.
     pub fn set(&self, faults: Faults) {
         *self.lock() = faults;
         self.changed.notify(usize::MAX);
     }
 
-    /// The present state.
+    /// The current faults.
     pub fn get(&self) -> Faults {
         self.lock().clone()
     }
 
-    /// Uses up one counted fault, if any is left.
-    pub fn strikes(&self, strike: Strike) -> bool {
+    /// Takes one off the count of a fault; whether any was left, so that the
+    /// caller injects it.
+    pub fn consume(&self, fault: Counted) -> bool {
         let mut faults = self.lock();
-        let left = match strike {
-            Strike::DropReply => &mut faults.drop_reply,
-            Strike::Refuse => &mut faults.refuse,
-            Strike::Cut => &mut faults.cut,
-            Strike::Cross => &mut faults.cross,
-            Strike::Repeat => &mut faults.repeat,
-            Strike::Gap => &mut faults.gap,
+        let left = match fault {
+            Counted::DropReply => &mut faults.drop_reply,
+            Counted::Refuse => &mut faults.refuse,
+            Counted::Cut => &mut faults.cut,
+            Counted::Cross => &mut faults.cross,
+            Counted::Repeat => &mut faults.repeat,
+            Counted::Gap => &mut faults.gap,
         };
         let hit = *left > 0;
         *left -= u32::from(hit);
@@ -83,7 +84,7 @@
     }
 
     /// Waits while the part is frozen.
-    pub async fn thawed(&self) {
+    pub async fn wait_while_frozen(&self) {
         loop {
             let listener = self.changed.listen();
             if !self.lock().freeze {
@@ -93,13 +94,13 @@
         }
     }
 
-    /// Waits as the switches say before an answer.
+    /// Waits before an answer: while the part is frozen, then for the delay.
     pub async fn pause(&self) {
-        self.thawed().await;
+        self.wait_while_frozen().await;
         let delay = self.lock().delay_ms;
         if delay > 0 {
             Timer::after(Duration::from_millis(delay)).await;
-            self.thawed().await;
+            self.wait_while_frozen().await;
         }
     }
 
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -1,4 +1,4 @@
-//! All parts together.
+//! All stand-ins of a fleet, started from one settings file.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -19,15 +19,15 @@
 use crate::store::{self, Store};
 use crate::weights::{self, Weights};
 
-/// An engine with its door and its batch loop.
+/// A model engine with its listener and its batch loop.
 pub struct EnginePart {
-    /// The door.
+    /// The listener.
     pub part: Part<engine::Door>,
     loop_task: Mutex<Option<Task<()>>>,
 }
 
 impl EnginePart {
-    /// The engine behind the door.
+    /// The engine that the listener serves.
     pub fn engine(&self) -> &Arc<Engine> {
         &self.part.handler().0
     }
@@ -46,26 +46,26 @@
         Ok(())
     }
 
-    /// Kills the engine: it forgets everything.
+    /// Kills the engine, which loses its requests and its cache.
     pub fn kill(&self) {
         self.part.kill();
         self.loop_task
             .lock()
             .unwrap_or_else(|e| e.into_inner())
             .take();
-        self.engine().die();
+        self.engine().reset();
     }
 }
 
 /// A server of a service.
 pub struct ServicePart {
-    /// The door.
+    /// The listener.
     pub part: Part<service::Door>,
-    /// Its faults.
+    /// Faults to inject.
     pub switches: Arc<Switches>,
 }
 
-/// Everything that stands outside tidepier.
+/// The stand-ins for everything outside tidepier.
 pub struct Fleet {
     /// The store.
     pub store: Part<store::Door>,
@@ -168,17 +168,17 @@
         Ok(())
     }
 
-    /// The store's data and switches.
+    /// The store's data and faults.
     pub fn store(&self) -> &Arc<Store> {
         &self.store.handler().0
     }
 
-    /// The list's data and switches.
+    /// The box list's data and faults.
     pub fn boxes(&self) -> &Arc<Boxes> {
         &self.boxes.handler().0
     }
 
-    /// The weight store's data and switches.
+    /// The weight store's data and faults.
     pub fn weights(&self) -> &Arc<Weights> {
         &self.weights.handler().0
     }
--- a/crates/standin/src/group.rs
+++ b/crates/standin/src/group.rs
@@ -1,5 +1,5 @@
-//! Engines of one model in one hall, watched together: the bound on load is
-//! checked here at every admission.
+//! The load of a group of engines, such as those of one model in one hall. The
+//! bound on load is checked here for every admission.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -9,21 +9,21 @@
 use serde::{Deserialize, Serialize};
 use tidepier_config::document::Load;
 
-/// An admission is held against the greatest mean within this time before and
-/// after it: whoever decided it counted requests that were still on their way,
-/// and ends that had not reached it yet.
-const FLIGHT: Duration = Duration::from_millis(250);
-/// Time between samples of running requests.
-const SAMPLE: Duration = Duration::from_millis(50);
+/// The bound of an admission follows from the greatest mean load within this
+/// time before and after it. The router that chose the engine had counted
+/// requests that had not arrived yet, and had not heard of all that had ended.
+const MEAN_WINDOW: Duration = Duration::from_millis(250);
+/// Interval between samples of the engines' loads.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 /// Samples in one window.
-const WINDOW: usize = 20;
+const WINDOW_SAMPLES: usize = 20;
 
-/// A running count of one engine.
+/// The load of one engine: the number of its requests in flight.
 #[derive(Debug, Default)]
 pub struct Gauge(AtomicU32);
 
 impl Gauge {
-    /// Requests that run now.
+    /// Requests in flight.
     pub fn get(&self) -> u32 {
         self.0.load(Ordering::SeqCst)
     }
@@ -31,10 +31,10 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// Means after each admission and end.
+    /// Mean load of the engines after each admission and each end of a request.
     means: VecDeque<(Instant, f64)>,
-    /// Admissions whose [`FLIGHT`] has not passed, with the engine's load.
-    open: VecDeque<(Instant, u32)>,
+    /// Admissions whose [`MEAN_WINDOW`] has not passed, with the engine's load.
+    pending: VecDeque<(Instant, u32)>,
     admissions: u64,
     broken: u64,
     worst: f64,
@@ -42,20 +42,21 @@
     windows: Vec<f64>,
 }
 
-/// What a group has seen.
+/// What a group has measured.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Measured {
     /// Requests admitted.
     pub admissions: u64,
-    /// Admissions past the bound.
+    /// Admissions over the bound.
     pub broken: u64,
-    /// Worst load over bound at an admission.
+    /// Greatest ratio of load to bound at an admission.
     pub worst: f64,
-    /// Max over mean of the engines' load in each one-second window.
+    /// Ratio of the greatest load of an engine to the mean load, for each
+    /// one-second window.
     pub windows: Vec<f64>,
 }
 
-/// The group.
+/// A group of engines.
 #[derive(Debug)]
 pub struct Group {
     load: Load,
@@ -78,13 +79,14 @@
         lock(&self.gauges).push(gauge.clone());
     }
 
-    /// Counts an admission at `gauge`; the bound is checked a little later.
+    /// Counts an admission at `gauge`; its bound is checked once
+    /// [`MEAN_WINDOW`] has passed.
     pub fn admit(&self, gauge: &Gauge) {
         let mine = gauge.0.fetch_add(1, Ordering::SeqCst) + 1;
         let mut state = lock(&self.state);
         let now = Instant::now();
         state.admissions += 1;
-        state.open.push_back((now, mine));
+        state.pending.push_back((now, mine));
         state.means.push_back((now, self.mean()));
         self.check(&mut state, now);
     }
@@ -104,17 +106,17 @@
         f64::from(running) / gauges.len().max(1) as f64
     }
 
-    /// Checks the admissions whose time has passed.
+    /// Checks the admissions whose [`MEAN_WINDOW`] has passed.
     fn check(&self, state: &mut State, now: Instant) {
-        while let Some((at, mine)) = state.open.front().copied() {
-            if now - at < FLIGHT {
+        while let Some((at, mine)) = state.pending.front().copied() {
+            if now - at < MEAN_WINDOW {
                 break;
             }
-            state.open.pop_front();
+            state.pending.pop_front();
             let near = state
                 .means
                 .iter()
-                .filter(|(when, _)| *when + FLIGHT >= at && *when <= at + FLIGHT);
+                .filter(|(when, _)| *when + MEAN_WINDOW >= at && *when <= at + MEAN_WINDOW);
             let mean = near.map(|(_, mean)| *mean).fold(0.0, f64::max);
             let bound = (self.load.multiple * mean)
                 .ceil()
@@ -125,20 +127,20 @@
         while state
             .means
             .front()
-            .is_some_and(|(when, _)| now - *when > 3 * FLIGHT)
+            .is_some_and(|(when, _)| now - *when > 3 * MEAN_WINDOW)
         {
             state.means.pop_front();
         }
     }
 
-    /// Samples the loads for ever.
+    /// Samples the loads until the task is dropped.
     pub async fn sample(self: Arc<Self>) {
         loop {
-            smol::Timer::after(SAMPLE).await;
+            smol::Timer::after(SAMPLE_INTERVAL).await;
             let loads: Vec<u32> = lock(&self.gauges).iter().map(|g| g.get()).collect();
             let mut state = lock(&self.state);
             state.samples.push(loads);
-            if state.samples.len() >= WINDOW {
+            if state.samples.len() >= WINDOW_SAMPLES {
                 let samples = std::mem::take(&mut state.samples);
                 if let Some(skew) = skew(&samples) {
                     state.windows.push(skew);
@@ -147,7 +149,7 @@
         }
     }
 
-    /// What was seen since the last call.
+    /// What was measured since the last call.
     pub fn take(&self) -> Measured {
         let state = std::mem::take(&mut *lock(&self.state));
         Measured {
@@ -159,8 +161,9 @@
     }
 }
 
-/// Max over mean of the engines' mean load in one window; `None` for a window
-/// with less than one request an engine, where rounding is all there is.
+/// Ratio of the greatest to the mean load of the engines in one window; `None`
+/// for a window with less than one request per engine on average, in which the
+/// ratio only reflects rounding.
 fn skew(samples: &[Vec<u32>]) -> Option<f64> {
     let engines = samples.first()?.len();
     let sum = |engine: usize| -> f64 {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,10 +1,10 @@
-//! Stand-ins of everything outside tidepier: the platform's store, box list
+//! Stand-ins for everything outside tidepier: the platform's store, box list
 //! and weight store, model engines, and plain services.
 //!
 //! For tests, the demo and measurement only. Each part listens on its own
-//! port and has switches for faults ([`faults`]). All parts live in one
-//! process, so that promises that span engines, such as the bound on load, can
-//! be checked exactly at every admission ([`group`]).
+//! port and can be given faults to inject ([`faults`]). All parts run in one
+//! process, so that guarantees that span engines, such as the bound on load,
+//! can be checked exactly at every admission ([`group`]).
 
 pub mod admin;
 pub mod boxes;
--- a/crates/standin/src/oracle.rs
+++ b/crates/standin/src/oracle.rs
@@ -1,6 +1,6 @@
-//! The right answer to every prompt: each token follows from the prompt and
-//! its position, so that any engine can continue any answer, and a test knows
-//! every answer in advance.
+//! The expected answer to every prompt. Each token is a function of model,
+//! prompt and position, so that any engine can continue any answer and a test
+//! can compute every answer in advance.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
@@ -48,12 +48,12 @@
     format!("{word}{} ", (hash >> 32) % 100)
 }
 
-/// The whole answer of `tokens` tokens.
+/// The complete answer of `tokens` tokens.
 pub fn answer(seed: u64, tokens: u64) -> String {
     (0..tokens).map(|offset| token(seed, offset)).collect()
 }
 
-/// Tokens of a text.
+/// Number of tokens in a text.
 pub fn tokens(text: &str) -> u64 {
     (text.len() as u64).div_ceil(TOKEN_BYTES)
 }
--- a/crates/standin/src/part.rs
+++ b/crates/standin/src/part.rs
@@ -11,11 +11,13 @@
 use smol::Task;
 use tidepier_http::server::{serve, Handler, Limits};
 
-/// Tries to bind an address, and the pause before each.
-const BIND_TRIES: u32 = 50;
-const BIND_PAUSE: Duration = Duration::from_millis(10);
+/// Attempts to bind an address.
+const BIND_ATTEMPTS_MAX: u32 = 50;
+/// Delay after an attempt that found the address in use.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Limits of the stand-ins' own connections: wide, as they test others.
+/// Limits of the stand-ins' connections: generous, so that the limits of the
+/// software under test apply first.
 fn limits() -> Limits {
     Limits {
         header: Duration::from_secs(60),
@@ -27,11 +29,11 @@
 
 struct Running {
     _accepting: Task<()>,
-    /// Closed when the part is killed; every connection ends with it.
+    /// Dropped when the part is killed, which ends every connection.
     _alive: channel::Sender<()>,
 }
 
-/// A part that serves `H` at one address.
+/// A listener that serves the handler `H` at one address.
 pub struct Part<H> {
     address: SocketAddr,
     handler: Arc<H>,
@@ -48,17 +50,17 @@
         }
     }
 
-    /// What the part serves.
+    /// The handler.
     pub fn handler(&self) -> &Arc<H> {
         &self.handler
     }
 
-    /// Where the part serves.
+    /// The address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Starts to listen; does nothing if it listens already.
+    /// Starts to listen; does nothing if the part is listening already.
     ///
     /// # Errors
     ///
@@ -79,7 +81,7 @@
         Ok(())
     }
 
-    /// Stops at once: the listener and all connections close.
+    /// Closes the listener and all connections at once.
     pub fn kill(&self) {
         self.running
             .lock()
@@ -88,13 +90,13 @@
     }
 }
 
-/// Binds an address. The executor closes a killed part's listener a moment
-/// after the kill, so a busy address is tried again.
+/// Binds an address. The executor closes the listener of a killed part
+/// a moment after the kill, so an address in use is tried again.
 fn bind(address: SocketAddr) -> io::Result<TcpListener> {
-    for _ in 0..BIND_TRIES {
+    for _ in 0..BIND_ATTEMPTS_MAX {
         match smol::block_on(TcpListener::bind(address)) {
             Err(error) if error.kind() == io::ErrorKind::AddrInUse => {
-                std::thread::sleep(BIND_PAUSE);
+                std::thread::sleep(BIND_RETRY_DELAY);
             }
             bound => return bound,
         }
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts how often each id ran.
+//! A plain service that counts how often each request id was executed.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -11,7 +11,7 @@
 use tidepier_http::http_types;
 use tidepier_http::server::{Handler, Reply};
 
-use crate::faults::{Strike, Switches};
+use crate::faults::{Counted, Switches};
 
 /// A service; several servers may share one.
 #[derive(Debug, Default)]
@@ -29,7 +29,7 @@
         })
     }
 
-    /// How often each id ran.
+    /// How often each request id was executed.
     pub fn runs(&self) -> BTreeMap<String, u64> {
         self.runs.lock().unwrap_or_else(|e| e.into_inner()).clone()
     }
@@ -42,11 +42,11 @@
     }
 }
 
-/// One server of a service.
+/// HTTP handler of one server of a service.
 pub struct Door {
     /// The service.
     pub service: Arc<Service>,
-    /// Faults of this server.
+    /// Faults to inject in this server.
     pub switches: Arc<Switches>,
 }
 
@@ -58,14 +58,14 @@
             Err(fault) => return Reply::fault(&fault),
         };
         self.switches.pause().await;
-        if self.switches.strikes(Strike::Refuse) {
+        if self.switches.consume(Counted::Refuse) {
             return Reply::text(503, "refused by switch".into());
         }
         let id = body["id"].as_str().unwrap_or("").to_string();
         let count = self.service.run(&id);
         Timer::after(self.service.work).await;
-        self.switches.thawed().await;
-        if self.switches.strikes(Strike::DropReply) {
+        self.switches.wait_while_frozen().await;
+        if self.switches.consume(Counted::DropReply) {
             return futures_lite::future::pending().await;
         }
         let path = request.url().path().to_string();
--- a/crates/standin/src/settings.rs
+++ b/crates/standin/src/settings.rs
@@ -8,23 +8,24 @@
 
 use crate::engine::Spec;
 
-/// What to stand in for. Engines and services are those of the document.
+/// Settings of the stand-in process. Engines and services are those of the
+/// fleet document.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Where the store serves.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// Where the box list serves.
+    /// Address of the box list.
     pub boxes: SocketAddr,
-    /// Where the weight store serves.
+    /// Address of the weight store.
     pub weights: SocketAddr,
-    /// Where switches and counts are served.
+    /// Address of the admin port ([`crate::admin`]).
     pub admin: SocketAddr,
     /// The boxes on the list.
     pub list: Vec<Entry>,
     /// The fleet document: its engines and services are started.
     pub document: Document,
-    /// The make of all engines.
+    /// Speed and sizes of every engine.
     #[serde(default)]
     pub engine: Spec,
     /// Time that a service's call takes, in milliseconds. Default 5.
--- a/crates/standin/src/store.rs
+++ b/crates/standin/src/store.rs
@@ -1,4 +1,4 @@
-//! The key-value service: the part of the etcd v3 JSON gateway that tidepier
+//! The platform's key-value store: the part of the etcd v3 JSON gateway that tidepier
 //! uses (range, txn, lease grant, keepalive and revoke, watch).
 
 use std::collections::BTreeMap;
@@ -16,12 +16,12 @@
 use tidepier_http::http_types;
 use tidepier_http::server::{Handler, Reply};
 
-use crate::faults::{Strike, Switches};
+use crate::faults::{Counted, Switches};
 
-/// Largest value, as the platform allows.
-const VALUE_BYTES: usize = 1 << 20;
-/// Bytes that a slow watcher may leave unread.
-const WATCH_BYTES: usize = 4 << 20;
+/// Largest value that the platform's store accepts.
+const VALUE_BYTES_MAX: usize = 1 << 20;
+/// Bytes that are buffered for a watcher that reads slowly.
+const WATCH_BUFFER_BYTES: usize = 4 << 20;
 
 #[derive(Debug, Clone)]
 struct Entry {
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 struct Lease {
     ttl: Duration,
-    until: Instant,
+    expires_at: Instant,
 }
 
 #[derive(Debug, Default)]
@@ -47,12 +47,12 @@
     writes: u64,
 }
 
-/// The store.
+/// The key-value store.
 #[derive(Debug, Default)]
 pub struct Store {
     data: Mutex<Data>,
     changed: Event,
-    /// Faults.
+    /// Faults to inject.
     pub switches: Switches,
 }
 
@@ -101,7 +101,7 @@
             "/v3/kv/range" => data.range(body),
             "/v3/kv/txn" => data.txn(body),
             "/v3/lease/grant" => data.grant(body),
-            "/v3/lease/keepalive" => data.keep(body),
+            "/v3/lease/keepalive" => data.keep_alive(body),
             "/v3/lease/revoke" => data.revoke(body),
             _ => Err(Fault::new(Kind::NotFound, path)),
         };
@@ -137,7 +137,7 @@
             };
             self.switches.pause().await;
             next = entry.modified + 1;
-            let event = json!({ "type": "PUT", "kv": shown(&key, &entry) });
+            let event = json!({ "type": "PUT", "kv": entry_json(&key, &entry) });
             let result = json!({ "result": { "header": {}, "events": [event] } });
             if out.write_all(line(&result).as_bytes()).await.is_err() {
                 return;
@@ -155,7 +155,7 @@
         let lapsed: Vec<i64> = self
             .leases
             .iter()
-            .filter(|(_, lease)| lease.until <= now)
+            .filter(|(_, lease)| lease.expires_at <= now)
             .map(|(id, _)| *id)
             .collect();
         for id in lapsed {
@@ -177,12 +177,15 @@
         let kvs: Vec<Value> = match body["range_end"].as_str() {
             None => {
                 let found = self.entries.get(&key);
-                found.map(|entry| shown(&key, entry)).into_iter().collect()
+                found
+                    .map(|entry| entry_json(&key, entry))
+                    .into_iter()
+                    .collect()
             }
             Some(_) => {
                 let end = bytes(&body["range_end"])?;
                 let found = self.entries.range(key..end);
-                found.map(|(key, entry)| shown(key, entry)).collect()
+                found.map(|(key, entry)| entry_json(key, entry)).collect()
             }
         };
         Ok(json!({ "header": self.header(), "kvs": kvs }))
@@ -211,16 +214,16 @@
         self.revision += 1;
         self.writes += 1;
         for operation in &operations {
-            self.operate(operation)?;
+            self.apply_operation(operation)?;
         }
         Ok(json!({ "header": self.header(), "succeeded": true }))
     }
 
-    fn operate(&mut self, operation: &Value) -> Result<(), Fault> {
+    fn apply_operation(&mut self, operation: &Value) -> Result<(), Fault> {
         if let Some(put) = operation.get("request_put") {
             let key = bytes(&put["key"])?;
             let value = bytes(&put["value"])?;
-            if value.len() > VALUE_BYTES {
+            if value.len() > VALUE_BYTES_MAX {
                 return Err(Fault::new(Kind::TooLarge, "a value over a megabyte"));
             }
             let lease = number(&put["lease"]);
@@ -245,19 +248,19 @@
         let ttl = Duration::from_secs(number(&body["TTL"]).max(1) as u64);
         self.next_lease += 1;
         let id = self.next_lease;
-        let until = Instant::now() + ttl;
-        self.leases.insert(id, Lease { ttl, until });
+        let expires_at = Instant::now() + ttl;
+        self.leases.insert(id, Lease { ttl, expires_at });
         self.writes += 1;
         Ok(
             json!({ "header": self.header(), "ID": id.to_string(), "TTL": ttl.as_secs().to_string() }),
         )
     }
 
-    fn keep(&mut self, body: &Value) -> Result<Value, Fault> {
+    fn keep_alive(&mut self, body: &Value) -> Result<Value, Fault> {
         let id = number(&body["ID"]);
         let ttl = match self.leases.get_mut(&id) {
             Some(lease) => {
-                lease.until = Instant::now() + lease.ttl;
+                lease.expires_at = Instant::now() + lease.ttl;
                 lease.ttl.as_secs()
             }
             None => 0,
@@ -277,7 +280,7 @@
     }
 }
 
-fn shown(key: &[u8], entry: &Entry) -> Value {
+fn entry_json(key: &[u8], entry: &Entry) -> Value {
     json!({
         "key": STANDARD.encode(key),
         "value": STANDARD.encode(&entry.value),
@@ -299,7 +302,7 @@
     }
 }
 
-/// Serves a [`Store`].
+/// HTTP handler of a [`Store`].
 pub struct Door(pub Arc<Store>);
 
 impl Handler for Door {
@@ -316,7 +319,7 @@
             Err(fault) => return Reply::fault(&fault),
         };
         store.switches.pause().await;
-        if store.switches.strikes(Strike::Refuse) {
+        if store.switches.consume(Counted::Refuse) {
             return Reply::text(503, "refused by switch".into());
         }
         if path == "/v3/watch" {
@@ -324,8 +327,8 @@
             return watching(store.clone(), body);
         }
         let result = store.apply(&path, &body);
-        if store.switches.strikes(Strike::DropReply) {
-            // The caller gives up by its own clock.
+        if store.switches.consume(Counted::DropReply) {
+            // No answer is ever sent: the client ends the call by its own time-out.
             return futures_lite::future::pending().await;
         }
         match result {
@@ -336,7 +339,7 @@
 }
 
 fn watching(store: Arc<Store>, body: Value) -> Reply {
-    let (reader, writer) = piper::pipe(WATCH_BYTES);
+    let (reader, writer) = piper::pipe(WATCH_BUFFER_BYTES);
     let mut response = Response::new(200);
     let reader = futures_lite::io::BufReader::new(reader);
     response.set_body(http_types::Body::from_reader(reader, None));
--- a/crates/standin/src/weights.rs
+++ b/crates/standin/src/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store: permits at a fixed rate.
+//! The weight store: hands out permits to load weights, at a limited rate.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -15,7 +15,7 @@
 pub struct Weights {
     interval: Duration,
     state: Mutex<State>,
-    /// Faults.
+    /// Faults to inject.
     pub switches: Switches,
 }
 
@@ -27,7 +27,7 @@
 }
 
 impl Weights {
-    /// A store that gives one permit each `interval`.
+    /// A store that grants at most one permit per `interval`.
     pub fn new(interval: Duration) -> Arc<Self> {
         Arc::new(Self {
             interval,
@@ -36,7 +36,7 @@
         })
     }
 
-    /// Permits given and refused.
+    /// Numbers of permits granted and refused.
     pub fn counts(&self) -> (u64, u64) {
         let state = self.lock();
         (state.given, state.refused)
@@ -64,7 +64,7 @@
     }
 }
 
-/// Serves a [`Weights`].
+/// HTTP handler of a [`Weights`].
 pub struct Door(pub Arc<Weights>);
 
 impl Handler for Door {
