--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -243,7 +243,7 @@
     }
 
     /// The sequence of a request that is in flight, or that ended less than
-    /// [`SEQUENCE_RETENTION`] ago.
+    /// `SEQUENCE_RETENTION` ago.
     pub fn find(&self, id: ids::Request) -> Option<Arc<Sequence>> {
         lock(&self.work)
             .known
--- a/crates/standin/src/group.rs
+++ b/crates/standin/src/group.rs
@@ -33,7 +33,7 @@
 struct State {
     /// Mean load of the engines after each admission and each end of a request.
     means: VecDeque<(Instant, f64)>,
-    /// Admissions whose [`MEAN_WINDOW`] has not passed, with the engine's load.
+    /// Admissions whose `MEAN_WINDOW` has not passed, with the engine's load.
     pending: VecDeque<(Instant, u32)>,
     admissions: u64,
     broken: u64,
@@ -80,7 +80,7 @@
     }
 
     /// Counts an admission at `gauge`; its bound is checked once
-    /// [`MEAN_WINDOW`] has passed.
+    /// `MEAN_WINDOW` has passed.
     pub fn admit(&self, gauge: &Gauge) {
         let mine = gauge.0.fetch_add(1, Ordering::SeqCst) + 1;
         let mut state = lock(&self.state);
@@ -106,7 +106,7 @@
         f64::from(running) / gauges.len().max(1) as f64
     }
 
-    /// Checks the admissions whose [`MEAN_WINDOW`] has passed.
+    /// Checks the admissions whose `MEAN_WINDOW` has passed.
     fn check(&self, state: &mut State, now: Instant) {
         while let Some((at, mine)) = state.pending.front().copied() {
             if now - at < MEAN_WINDOW {
