--- a/src/desk.rs
+++ b/src/client.rs
@@ -1,4 +1,4 @@
-//! The operator's calls to the boxes of a fleet.
+//! A client for the admin ports of the boxes of a fleet.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,9 +12,9 @@
 use tidepier_router::Status;
 
 /// Largest answer in bytes.
-const ANSWER_BYTES: u64 = 16 << 20;
-/// Time for one call.
-const CALL_TIME: Duration = Duration::from_secs(15);
+const ANSWER_BYTES_MAX: u64 = 16 << 20;
+/// Time-out of one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// How to reach a fleet.
 #[derive(Debug, Clone, clap::Args)]
@@ -33,20 +33,20 @@
     key_file: Option<PathBuf>,
 }
 
-/// A connection to a fleet.
-pub struct Desk {
+/// A client for the admin ports of a fleet's boxes.
+pub struct Client {
     pool: Pool,
     at: Vec<SocketAddr>,
     key: String,
 }
 
 impl Reach {
-    /// Reads the key and makes a desk.
+    /// Reads the operator key and makes a client.
     ///
     /// # Errors
     ///
-    /// No key can be read.
-    pub fn open(&self) -> eyre::Result<Desk> {
+    /// The key cannot be read.
+    pub fn open(&self) -> eyre::Result<Client> {
         let key = match &self.key_file {
             Some(path) => std::fs::read_to_string(path)
                 .wrap_err_with(|| format!("reading {}", path.display()))?,
@@ -55,7 +55,7 @@
                 Fault::new(Kind::Unauthorized, format!("no operator key: {hint}"))
             })?,
         };
-        Ok(Desk {
+        Ok(Client {
             pool: Pool::new(),
             at: self.at.clone(),
             key: key.trim().to_string(),
@@ -63,7 +63,7 @@
     }
 }
 
-impl Desk {
+impl Client {
     /// Calls the first box that answers.
     ///
     /// # Errors
@@ -89,7 +89,7 @@
         let call = call
             .clone()
             .header("authorization", format!("Bearer {}", self.key));
-        let answered = smol::block_on(self.pool.whole(at, &call, ANSWER_BYTES, CALL_TIME));
+        let answered = smol::block_on(self.pool.whole(at, &call, ANSWER_BYTES_MAX, CALL_TIMEOUT));
         let answer = answered.map_err(|error| Fault::new(Kind::Peer, format!("{at}: {error}")))?;
         if answer.status >= 400 {
             return Err(refusal(answer.status, &answer.bytes));
@@ -121,7 +121,7 @@
     }
 }
 
-/// The fault of a refusal.
+/// The fault that an error answer states.
 fn refusal(status: u16, bytes: &[u8]) -> Fault {
     match serde_json::from_slice::<Body>(bytes) {
         Ok(body) => Fault::new(body.error.kind, body.error.message),
@@ -139,7 +139,7 @@
     Ok(())
 }
 
-/// The document inside a record as the store keeps it.
+/// The document in a record, in the form that the store keeps.
 pub fn document_of(record: &Value) -> &Value {
     &record["document"]
 }
--- a/src/commands/apply.rs
+++ b/src/commands/apply.rs
@@ -1,4 +1,4 @@
-//! `tidepier apply`: puts a document in force, whole.
+//! `tidepier apply`: replaces the document in force.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -12,12 +12,12 @@
 
 use super::check::read;
 use super::diff;
-use crate::desk::{document_of, Desk, Reach};
+use crate::client::{document_of, Client, Reach};
 
-/// Times that a wish whose outcome is open is sent again.
-const TRIES: u32 = 4;
-/// Time between looks at the boxes.
-const LOOK_AGAIN: Duration = Duration::from_millis(200);
+/// Attempts to send a request whose outcome is unknown.
+const ATTEMPTS_MAX: u32 = 4;
+/// Interval at which the boxes are asked for their status.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Applies a document whole, if nothing else was applied meanwhile.
 #[derive(Debug, clap::Args)]
@@ -49,33 +49,33 @@
     ///
     /// # Errors
     ///
-    /// The faults of the file; [`Kind::Conflict`] after a lost race, with the
-    /// difference to the winner's document; [`Kind::Store`] when the outcome
-    /// stayed open; [`Kind::Deadline`] when it is not in force everywhere in
+    /// The faults of the file; [`Kind::Conflict`] when another document was
+    /// applied meanwhile, after the difference to that document has been
+    /// printed; [`Kind::Store`] when the outcome remained unknown; [`Kind::Deadline`] when it is not in force everywhere in
     /// time.
     pub fn execute(&self) -> eyre::Result<()> {
         let text = read(&self.file)?;
         check::parse::<Document>(&text)?;
         let document: Value = serde_json::from_str(&text)?;
-        let desk = self.reach.open()?;
-        let held = diff::held(&desk)?;
-        let patch = diff::changes(held.as_ref().map(document_of), &document)?;
+        let client = self.reach.open()?;
+        let current = diff::current(&client)?;
+        let patch = diff::changes(current.as_ref().map(document_of), &document)?;
         if self.dry_run {
             print!("{}", diff::lines(&patch));
             println!("{} changes, nothing applied", patch.0.len());
             return Ok(());
         }
-        check_halls(&desk, &document, &self.allow_empty_hall)?;
-        let wish = Apply {
+        check_halls(&client, &document, &self.allow_empty_hall)?;
+        let request = Apply {
             id: ids::Request::random(),
-            expected: Some(self.expect.unwrap_or_else(|| generation(held.as_ref()))),
+            expected: Some(self.expect.unwrap_or_else(|| generation(current.as_ref()))),
             author: self.author.clone(),
             document,
         };
-        let applied = match send(&desk, &wish) {
+        let applied = match send(&client, &request) {
             Ok(applied) => applied,
             Err(fault) if fault.kind == Kind::Conflict => {
-                return Err(lost_race(&desk, &wish, fault))
+                return Err(conflict_report(&client, &request, fault))
             }
             Err(fault) => return Err(fault.into()),
         };
@@ -85,7 +85,7 @@
             patch.0.len()
         );
         match self.wait {
-            Some(seconds) => wait(&desk, applied.generation, Duration::from_secs(seconds)),
+            Some(seconds) => wait(&client, applied.generation, Duration::from_secs(seconds)),
             None => Ok(()),
         }
     }
@@ -96,21 +96,22 @@
     ids::Generation(number.unwrap_or(0))
 }
 
-/// Halls that no box has would serve nothing.
-fn check_halls(desk: &Desk, document: &Value, empty: &[ids::Hall]) -> eyre::Result<()> {
-    let statuses = desk.statuses()?;
-    let boxed: Vec<_> = statuses
+/// Refuses a document with a hall that no box belongs to, unless `empty` lists
+/// the hall: its engines would get no requests.
+fn check_halls(client: &Client, document: &Value, empty: &[ids::Hall]) -> eyre::Result<()> {
+    let statuses = client.statuses()?;
+    let with_boxes: Vec<_> = statuses
         .iter()
         .map(|status| status.hall.to_string())
         .collect();
     let halls = document["halls"].as_array().cloned().unwrap_or_default();
     for (index, hall) in halls.iter().filter_map(Value::as_str).enumerate() {
         let allowed = empty.iter().any(|empty| empty.as_str() == hall);
-        if !allowed && !boxed.iter().any(|boxed| boxed == hall) {
+        if !allowed && !with_boxes.iter().any(|with_boxes| with_boxes == hall) {
             let detail = format!(
                 "/halls/{index}: found {hall:?}, which no box has; allowed: one of {}, \
                  or say --allow-empty-hall {hall}",
-                boxed.join(", ")
+                with_boxes.join(", ")
             );
             return Err(Fault::new(Kind::Invalid, detail).into());
         }
@@ -118,15 +119,15 @@
     Ok(())
 }
 
-/// Sends a wish; one whose outcome is open is sent again under the same id,
-/// which finds out.
-fn send(desk: &Desk, wish: &Apply) -> Result<Applied, Fault> {
-    let body = serde_json::to_vec(wish);
+/// Sends a request. While its outcome is unknown, it is sent again under the same
+/// id, by which the box recognises a request that was applied already.
+fn send(client: &Client, request: &Apply) -> Result<Applied, Fault> {
+    let body = serde_json::to_vec(request);
     let body = body.map_err(|error| Fault::new(Kind::Internal, error.to_string()))?;
     let call = Call::post("/apply", body);
     let mut last = Fault::new(Kind::Store, "not sent");
-    for _ in 0..TRIES {
-        match desk.call(&call) {
+    for _ in 0..ATTEMPTS_MAX {
+        match client.call(&call) {
             Err(fault) if matches!(fault.kind, Kind::Store | Kind::Peer) => last = fault,
             done => return done,
         }
@@ -134,37 +135,37 @@
     Err(last)
 }
 
-fn lost_race(desk: &Desk, wish: &Apply, fault: Fault) -> eyre::Report {
-    if let Ok(Some(record)) = diff::held(desk) {
+fn conflict_report(client: &Client, request: &Apply, fault: Fault) -> eyre::Report {
+    if let Ok(Some(record)) = diff::current(client) {
         eprintln!(
             "in force: generation {} by {}",
             record["generation"], record["author"]
         );
-        if let Ok(patch) = diff::changes(Some(document_of(&record)), &wish.document) {
+        if let Ok(patch) = diff::changes(Some(document_of(&record)), &request.document) {
             eprint!("your document differs from it by:\n{}", diff::lines(&patch));
         }
     }
     fault.into()
 }
 
-fn wait(desk: &Desk, generation: ids::Generation, limit: Duration) -> eyre::Result<()> {
-    let begun = Instant::now();
+fn wait(client: &Client, generation: ids::Generation, limit: Duration) -> eyre::Result<()> {
+    let started = Instant::now();
     loop {
-        let statuses = desk.statuses()?;
+        let statuses = client.statuses()?;
         let behind: Vec<_> = statuses
             .iter()
             .filter(|status| status.generation < generation)
             .map(|status| status.name.to_string())
             .collect();
         if behind.is_empty() {
-            let seconds = begun.elapsed().as_secs_f64();
+            let seconds = started.elapsed().as_secs_f64();
             println!("in force on {} boxes after {seconds:.1} s", statuses.len());
             return Ok(());
         }
-        if begun.elapsed() > limit {
+        if started.elapsed() > limit {
             let detail = format!("not yet in force on {}", behind.join(", "));
             return Err(Fault::new(Kind::Deadline, detail).into());
         }
-        std::thread::sleep(LOOK_AGAIN);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/src/commands/diff.rs
+++ b/src/commands/diff.rs
@@ -8,7 +8,7 @@
 use tidepier_http::client::Call;
 
 use super::check::read;
-use crate::desk::{document_of, print_json, Desk, Reach};
+use crate::client::{document_of, print_json, Client, Reach};
 
 /// Shows what applying a document would change.
 #[derive(Debug, clap::Args)]
@@ -31,9 +31,9 @@
     pub fn execute(&self) -> eyre::Result<()> {
         let text = read(&self.file)?;
         check::parse::<Document>(&text)?;
-        let fresh: Value = serde_json::from_str(&text)?;
-        let held = held(&self.reach.open()?)?;
-        let patch = changes(held.as_ref().map(document_of), &fresh)?;
+        let new: Value = serde_json::from_str(&text)?;
+        let current = current(&self.reach.open()?)?;
+        let patch = changes(current.as_ref().map(document_of), &new)?;
         if self.json {
             return print_json(&patch);
         }
@@ -45,35 +45,35 @@
     }
 }
 
-/// The record in force; `None` before the first.
+/// The record in force; `None` if no document has been applied yet.
 ///
 /// # Errors
 ///
 /// No box answers.
-pub fn held(desk: &Desk) -> Result<Option<Value>, Fault> {
-    match desk.call::<Value>(&Call::get("/document")) {
+pub fn current(client: &Client) -> Result<Option<Value>, Fault> {
+    match client.call::<Value>(&Call::get("/document")) {
         Ok(record) => Ok(Some(record)),
         Err(fault) if fault.kind == Kind::NotReady => Ok(None),
         Err(fault) => Err(fault),
     }
 }
 
-/// The difference between two documents. Both are read as documents first, so
-/// that a default that is left out is no difference.
+/// The difference between two documents. Both are parsed as documents first, so
+/// that a default value and a missing key count as equal.
 ///
 /// # Errors
 ///
-/// One of them is no document.
-pub fn changes(held: Option<&Value>, fresh: &Value) -> eyre::Result<json_patch::Patch> {
+/// One of them is not a valid document.
+pub fn changes(current: Option<&Value>, new: &Value) -> eyre::Result<json_patch::Patch> {
     let normal = |value: &Value| -> eyre::Result<Value> {
         let document: Document = serde_json::from_value(value.clone())?;
         Ok(serde_json::to_value(document)?)
     };
-    let held = match held {
-        Some(held) => normal(held)?,
+    let current = match current {
+        Some(current) => normal(current)?,
         None => Value::Object(serde_json::Map::new()),
     };
-    Ok(json_patch::diff(&held, &normal(fresh)?))
+    Ok(json_patch::diff(&current, &normal(new)?))
 }
 
 /// One line for each change.
--- a/src/commands/drain.rs
+++ b/src/commands/drain.rs
@@ -9,10 +9,10 @@
 use tidepier_ids as ids;
 use tidepier_router::{Applied, Apply, Status};
 
-use crate::desk::{document_of, Desk, Reach};
+use crate::client::{document_of, Client, Reach};
 
-/// Time between looks at a stopping box.
-const LOOK_AGAIN: Duration = Duration::from_millis(300);
+/// Interval at which a stopping box is asked for its status.
+const POLL_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Stops a box as planned, or makes an engine or a hall's engines leave.
 #[derive(Debug, clap::Args)]
@@ -50,7 +50,7 @@
 }
 
 impl Command {
-    /// Drains.
+    /// Stops the box, or has the engines leave.
     ///
     /// # Errors
     ///
@@ -59,32 +59,32 @@
         match &self.what {
             What::Box { name, reach, wait } => drain_box(&reach.open()?, name, *wait),
             What::Engine { name, reach } => {
-                leave(&reach.open()?, |engine| engine["name"] == name.as_str())
+                set_leaving(&reach.open()?, |engine| engine["name"] == name.as_str())
             }
             What::Hall { name, reach } => {
-                leave(&reach.open()?, |engine| engine["hall"] == name.as_str())
+                set_leaving(&reach.open()?, |engine| engine["hall"] == name.as_str())
             }
         }
     }
 }
 
-fn drain_box(desk: &Desk, name: &ids::Box, wait: Option<u64>) -> eyre::Result<()> {
-    let statuses = desk.statuses()?;
+fn drain_box(client: &Client, name: &ids::Box, wait: Option<u64>) -> eyre::Result<()> {
+    let statuses = client.statuses()?;
     let known = statuses.iter().flat_map(|status| &status.boxes);
     let mut found = known.filter(|known| known.name == *name && known.state != "dead");
     let Some(found) = found.next() else {
         return Err(Fault::new(Kind::NotFound, format!("no box {name}")).into());
     };
     let admin = found.admin;
-    let status: Status = desk.call_at(admin, &Call::post("/drain", *b"{}"))?;
+    let status: Status = client.call_at(admin, &Call::post("/drain", *b"{}"))?;
     println!("{name} is stopping with {} open requests", status.open);
     let Some(seconds) = wait else {
         return Ok(());
     };
     let end = Instant::now() + Duration::from_secs(seconds);
     while Instant::now() < end {
-        std::thread::sleep(LOOK_AGAIN);
-        match desk.call_at::<Status>(admin, &Call::get("/status")) {
+        std::thread::sleep(POLL_INTERVAL);
+        match client.call_at::<Status>(admin, &Call::get("/status")) {
             Ok(status) if status.phase == "closed" && status.open == 0 => {
                 println!("{name} has finished");
                 return Ok(());
@@ -102,9 +102,10 @@
     ))
 }
 
-/// Applies the document in force with the chosen engines leaving.
-fn leave(desk: &Desk, chosen: impl Fn(&Value) -> bool) -> eyre::Result<()> {
-    let record: Value = desk.call(&Call::get("/document"))?;
+/// Applies the document in force, with the state of the chosen engines set to
+/// `leaving`.
+fn set_leaving(client: &Client, chosen: impl Fn(&Value) -> bool) -> eyre::Result<()> {
+    let record: Value = client.call(&Call::get("/document"))?;
     let mut document = document_of(&record).clone();
     let mut count = 0;
     if let Some(engines) = document["engines"].as_array_mut() {
@@ -117,14 +118,14 @@
         return Err(Fault::new(Kind::NotFound, "no such engine").into());
     }
     let generation = record["generation"].as_u64().unwrap_or(0);
-    let wish = Apply {
+    let request = Apply {
         id: ids::Request::random(),
         expected: Some(ids::Generation(generation)),
         author: "drain".into(),
         document,
     };
-    let call = Call::post("/apply", serde_json::to_vec(&wish)?);
-    let applied: Applied = desk.call(&call)?;
+    let call = Call::post("/apply", serde_json::to_vec(&request)?);
+    let applied: Applied = client.call(&call)?;
     println!(
         "generation {} accepted: {count} engines leave",
         applied.generation
--- a/src/commands/explain.rs
+++ b/src/commands/explain.rs
@@ -4,7 +4,7 @@
 use tidepier_ids as ids;
 use tidepier_router::Span;
 
-use crate::desk::{print_json, Reach};
+use crate::client::{print_json, Reach};
 use crate::table;
 
 /// Asks every box what it did for a request and prints it in order.
@@ -20,17 +20,17 @@
 }
 
 impl Command {
-    /// Prints the request's path.
+    /// Prints what each box did for the request.
     ///
     /// # Errors
     ///
     /// No box answers.
     pub fn execute(&self) -> eyre::Result<()> {
-        let desk = self.reach.open()?;
+        let client = self.reach.open()?;
         let call = Call::get(format!("/explain/{}", self.request));
         let mut spans: Vec<Span> = Vec::new();
-        let mut silent = Vec::new();
-        let first = desk.statuses()?;
+        let mut unresponsive = Vec::new();
+        let first = client.statuses()?;
         let known = first.iter().flat_map(|status| &status.boxes);
         let mut boxes: Vec<_> = known
             .map(|known| (known.name.clone(), known.admin))
@@ -38,9 +38,9 @@
         boxes.sort();
         boxes.dedup();
         for (name, admin) in boxes {
-            match desk.call_at::<Vec<Span>>(admin, &call) {
+            match client.call_at::<Vec<Span>>(admin, &call) {
                 Ok(found) => spans.extend(found),
-                Err(_) => silent.push(name.to_string()),
+                Err(_) => unresponsive.push(name.to_string()),
             }
         }
         spans.sort_by_key(|span| span.at_us);
@@ -51,7 +51,7 @@
         if spans.is_empty() {
             println!("no box remembers request {}", self.request);
         }
-        for name in silent {
+        for name in unresponsive {
             println!("{name} does not answer; what it did is missing here");
         }
         Ok(())
@@ -59,11 +59,11 @@
 }
 
 fn render(spans: &[Span]) -> String {
-    let begun = spans.first().map_or(0, |span| span.at_us);
+    let started = spans.first().map_or(0, |span| span.at_us);
     let rows: Vec<_> = spans
         .iter()
         .map(|span| {
-            let millis = (span.at_us - begun) as f64 / 1000.0;
+            let millis = (span.at_us - started) as f64 / 1000.0;
             let hop = format!("{:?}", span.hop).to_lowercase();
             vec![
                 format!("{millis:.1}ms"),
--- a/src/commands/schema.rs
+++ b/src/commands/schema.rs
@@ -2,7 +2,7 @@
 
 use tidepier_config::{check, Document, Settings};
 
-use crate::desk::print_json;
+use crate::client::print_json;
 
 /// Prints the JSON schema of the fleet document, or of the settings.
 #[derive(Debug, clap::Args)]
--- a/src/commands/show.rs
+++ b/src/commands/show.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 use tidepier_http::client::Call;
 
-use crate::desk::{document_of, print_json, Reach};
+use crate::client::{document_of, print_json, Reach};
 
 /// Prints the document in force, ready to be changed and applied again.
 #[derive(Debug, clap::Args)]
--- a/src/commands/status.rs
+++ b/src/commands/status.rs
@@ -2,7 +2,7 @@
 
 use tidepier_router::Status;
 
-use crate::desk::{print_json, Reach};
+use crate::client::{print_json, Reach};
 use crate::table;
 
 /// Shows each box: hall, phase, generation in force and its age, load, links
@@ -67,13 +67,13 @@
     ]
 }
 
-/// Boxes that others know as living and that did not answer.
+/// Boxes that did not answer although other boxes consider them alive.
 fn missing(statuses: &[Status]) -> Vec<String> {
     let known = statuses.iter().flat_map(|status| &status.boxes);
-    let silent = known.filter(|known| {
+    let unresponsive = known.filter(|known| {
         known.state != "dead" && !statuses.iter().any(|status| status.name == known.name)
     });
-    let mut names: Vec<_> = silent.map(|known| known.name.to_string()).collect();
+    let mut names: Vec<_> = unresponsive.map(|known| known.name.to_string()).collect();
     names.sort();
     names.dedup();
     names
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,7 +3,7 @@
 //! Each subcommand is a clap struct with an `execute` of its own under
 //! [`commands`]. Exit codes follow the table of [`tidepier_errors::Kind`].
 
+pub mod client;
 pub mod commands;
-pub mod desk;
 pub mod exit;
 pub mod table;
