--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -1,5 +1,5 @@
-//! One caller: sends a chat, checks the answer token by token, and comes back
-//! through another router when its own is lost.
+//! One caller: sends a chat, checks the answer token by token, and resumes it
+//! through another router when the stream breaks.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,16 +12,16 @@
 use tidepier_http::server::within;
 use tidepier_standin::oracle::{self, Message};
 
-/// Tries to come back to a broken stream.
-const RETURNS: u32 = 40;
-/// Pause before coming back.
-const RETURN_PAUSE: Duration = Duration::from_millis(100);
-/// Time without any event after which a caller gives its router up.
-const SILENCE: Duration = Duration::from_secs(40);
-/// Status of an answer whose stream then ended with an error.
-const STREAMED: u16 = 200;
+/// Attempts to send a chat, and to resume a broken stream.
+const ATTEMPTS_MAX: u32 = 40;
+/// Delay before the next attempt.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Time without any event after which a caller tries another router.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(40);
+/// HTTP status of an answer whose stream ended with an error.
+const STREAM_STATUS: u16 = 200;
 /// Largest refusal in bytes.
-const REFUSAL_BYTES: u64 = 64 << 10;
+const REFUSAL_BYTES_MAX: u64 = 64 << 10;
 
 /// A chat to send.
 #[derive(Debug, Clone)]
@@ -39,13 +39,13 @@
 /// How a chat ended.
 #[derive(Debug, Clone, Default)]
 pub struct Outcome {
-    /// Whether the whole right answer came.
+    /// Whether the complete and correct answer arrived.
     pub whole: bool,
-    /// Whether the caller was refused, with a final answer.
+    /// The refusal, if the final answer was one.
     pub refused: Option<Refused>,
-    /// Tokens that were wrong, out of order or doubled.
+    /// Tokens that were wrong, out of order or repeated.
     pub wrong: u64,
-    /// Times that the caller came back through another router.
+    /// Attempts that the caller made through another router.
     pub returns: u32,
     /// Time to the first token.
     pub first: Option<Duration>,
@@ -57,9 +57,9 @@
     pub cached: u64,
     /// Those of them that the best engine had cached.
     pub best: u64,
-    /// The engine that ended the answer.
+    /// The engine that sent the end of the answer.
     pub engine: String,
-    /// What went wrong, in words.
+    /// A description of what went wrong.
     pub trouble: Option<String>,
 }
 
@@ -70,9 +70,9 @@
     pub status: u16,
     /// The error kind.
     pub kind: String,
-    /// Whether the router says that it ran.
+    /// Whether the request was executed, as the router states.
     pub ran: Ran,
-    /// Seconds after which to come back.
+    /// Seconds after which the caller may retry.
     pub retry_after: Option<u64>,
 }
 
@@ -121,12 +121,13 @@
     Failed(Detail),
 }
 
-/// Sends `chat` to `routers[first]`, coming back through the others.
+/// Sends `chat` to `routers[first]`; after a failure, continues through the
+/// other routers.
 pub async fn ask(pool: &Pool, routers: &[SocketAddr], first: usize, chat: &Chat) -> Outcome {
     ask_with(pool, routers, first, chat, |_| {}).await
 }
 
-/// Like [`ask`], and shows each token to `show`.
+/// Like [`ask`], and passes each token to `show`.
 pub async fn ask_with(
     pool: &Pool,
     routers: &[SocketAddr],
@@ -135,7 +136,7 @@
     mut show: impl FnMut(&str),
 ) -> Outcome {
     let mut outcome = Outcome::default();
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut turn = first;
     let Some((answer, response)) = begin(pool, routers, &mut turn, chat, &mut outcome).await else {
         return outcome;
@@ -144,11 +145,11 @@
         seed: oracle::seed(&chat.model, &oracle::prompt(&chat.messages)),
         tokens: chat.tokens,
         next: 0,
-        begun,
-        last: begun,
+        started,
+        last: started,
     };
     let mut answer = Some(answer);
-    for _ in 0..RETURNS {
+    for _ in 0..ATTEMPTS_MAX {
         if let Some(answer) = answer.take() {
             match read(answer, &mut state, &mut outcome, &mut show).await {
                 Read::Whole => {
@@ -157,7 +158,7 @@
                 }
                 Read::Failed(error) => {
                     outcome.refused = Some(Refused {
-                        status: STREAMED,
+                        status: STREAM_STATUS,
                         kind: error.kind.to_string(),
                         ran: error.ran,
                         retry_after: error.retry_after,
@@ -169,11 +170,12 @@
         }
         turn += 1;
         outcome.returns += 1;
-        Timer::after(RETURN_PAUSE).await;
+        Timer::after(RETRY_DELAY).await;
         let router = routers[turn % routers.len()];
-        match come_back(pool, router, chat, &response, state.next).await {
+        match resume(pool, router, chat, &response, state.next).await {
             Some(back) if back.status() == 200 => answer = Some(back),
-            // A final answer, such as that the engine no longer has it.
+            // A final answer, such as that the engine no longer has the
+            // sequence.
             Some(back) if !matches!(back.status(), 503 | 429) => {
                 outcome.refused = refusal(back).await;
                 return outcome;
@@ -184,7 +186,7 @@
     outcome
 }
 
-/// Sends the request until a router has taken it or refused it.
+/// Sends the request until a router accepts or refuses it.
 async fn begin(
     pool: &Pool,
     routers: &[SocketAddr],
@@ -192,7 +194,7 @@
     chat: &Chat,
     outcome: &mut Outcome,
 ) -> Option<(Answer, String)> {
-    for _ in 0..RETURNS {
+    for _ in 0..ATTEMPTS_MAX {
         let router = routers[*turn % routers.len()];
         match pool.send(router, &call(chat)).await {
             Ok(answer) if answer.status() == 200 => {
@@ -206,18 +208,19 @@
                 }
                 return None;
             }
-            // Another router: this one took nothing, or is gone with it.
+            // Tries another router: this one did not get the request, or failed
+            // with an unknown outcome.
             Err(Failure::Unsent(_)) => {}
             Err(Failure::Unknown(error)) => outcome.trouble = Some(error.to_string()),
         }
         *turn += 1;
         outcome.returns += 1;
-        Timer::after(RETURN_PAUSE).await;
+        Timer::after(RETRY_DELAY).await;
     }
     None
 }
 
-/// The call that sends a chat.
+/// The HTTP request that sends a chat.
 pub fn call(chat: &Chat) -> Call {
     let body = serde_json::json!({
         "model": chat.model,
@@ -229,7 +232,7 @@
         .header("authorization", format!("Bearer {}", chat.key))
 }
 
-async fn come_back(
+async fn resume(
     pool: &Pool,
     router: SocketAddr,
     chat: &Chat,
@@ -249,7 +252,7 @@
     let header = answer
         .header("retry-after")
         .and_then(|text| text.parse().ok());
-    let whole = answer.whole(REFUSAL_BYTES).await.ok()?;
+    let whole = answer.whole(REFUSAL_BYTES_MAX).await.ok()?;
     let body: Refusal = serde_json::from_slice(&whole.bytes).ok()?;
     Some(Refused {
         status,
@@ -263,7 +266,7 @@
     seed: u64,
     tokens: u64,
     next: u64,
-    begun: Instant,
+    started: Instant,
     last: Instant,
 }
 
@@ -276,7 +279,7 @@
     let mut reader = Reader::new(answer.reader());
     let mut finished = false;
     loop {
-        let frame = match within(SILENCE, reader.next()).await {
+        let frame = match within(EVENT_TIMEOUT, reader.next()).await {
             None => return Read::Broken("silence".into()),
             Some(Err(error)) => return Read::Broken(error.to_string()),
             Some(Ok(None)) => return Read::Broken("the stream ended early".into()),
@@ -323,7 +326,7 @@
     outcome.wrong += u64::from(!right || !placed);
     let now = Instant::now();
     match outcome.first {
-        None => outcome.first = Some(now - state.begun),
+        None => outcome.first = Some(now - state.started),
         Some(_) => outcome.between.push(now - state.last),
     }
     state.last = now;
--- a/crates/load/src/chats.rs
+++ b/crates/load/src/chats.rs
@@ -1,6 +1,6 @@
-//! The users' kinds of chats, written for this project: long contracts,
-//! damage reports, manifests and changelogs that many read, and chats that
-//! return and grow by turns.
+//! Generates chats of the kinds that the users hold, from texts written for this
+//! project: about long documents that many chats share (contracts, damage
+//! reports, manifests and changelogs), and continued turn by turn.
 
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -47,7 +47,7 @@
     pub own: f64,
 }
 
-/// Makes chats from a fixed seed.
+/// Generates chats from a fixed seed.
 pub struct Maker {
     rng: ChaCha8Rng,
     shape: Shape,
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The same chat with its answer and a further question.
+    /// Continues a chat: appends its answer and a further question.
     pub fn grow(&mut self, returning: &mut Returning) {
         let chat = &mut returning.chat;
         let seed = oracle::seed(&chat.model, &oracle::prompt(&chat.messages));
--- a/crates/load/src/commands/call.rs
+++ b/crates/load/src/commands/call.rs
@@ -6,9 +6,9 @@
 use tidepier_http::client::{Call, Pool};
 
 /// Largest answer in bytes.
-const ANSWER_BYTES: u64 = 8 << 20;
-/// Time for the call.
-const CALL_TIME: Duration = Duration::from_secs(30);
+const ANSWER_BYTES_MAX: u64 = 8 << 20;
+/// Time-out of the call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Posts a JSON body to a plain service and prints the answer.
 #[derive(clap::Args)]
@@ -45,7 +45,7 @@
                 .header("tidepier-repeatable", "no");
         }
         let pool = Pool::new();
-        let sent = pool.whole(self.router, &call, ANSWER_BYTES, CALL_TIME);
+        let sent = pool.whole(self.router, &call, ANSWER_BYTES_MAX, CALL_TIMEOUT);
         let answer = smol::block_on(sent)?;
         let replayed = match answer.header("tidepier-replayed") {
             Some(_) => " (the first answer again)",
--- a/crates/load/src/commands/chat.rs
+++ b/crates/load/src/commands/chat.rs
@@ -1,4 +1,4 @@
-//! `tidepier-load chat`: one returning chat, shown as it comes.
+//! `tidepier-load chat`: one chat of several turns, printed while it arrives.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
     ///
     /// # Errors
     ///
-    /// An answer was not whole and right.
+    /// An answer was not complete and correct.
     pub fn execute(&self) -> eyre::Result<()> {
         let pool = Pool::new();
         let mut maker = Maker::new(self.seed, &self.shape, &self.model, vec![self.key.clone()]);
@@ -44,7 +44,7 @@
         for turn in 1..=self.turns {
             let mut out = std::io::stdout();
             let show = |text: &str| {
-                // Showing is a convenience; the answer is checked all the same.
+                // Failures to print are ignored: the answer is checked anyway.
                 let _ = out.write_all(text.as_bytes()).and_then(|()| out.flush());
             };
             let asked = caller::ask_with(&pool, &self.routers, 0, &returning.chat, show);
--- a/crates/load/src/commands/claims.rs
+++ b/crates/load/src/commands/claims.rs
@@ -1,4 +1,4 @@
-//! `tidepier-load claims`: what a claim costs.
+//! `tidepier-load claims`: the cost of a claim in store writes and time.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -13,9 +13,9 @@
 use crate::tally::{quantiles, HIGHEST_US};
 
 /// Largest answer in bytes.
-const ANSWER_BYTES: u64 = 1 << 20;
-/// Time for one call.
-const CALL_TIME: Duration = Duration::from_secs(10);
+const ANSWER_BYTES_MAX: u64 = 1 << 20;
+/// Time-out of one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Makes as many not-repeatable calls as it can.
 #[derive(clap::Args)]
@@ -34,12 +34,12 @@
     seconds: u64,
 }
 
-/// What claims cost.
+/// The cost of claims.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Line {
     /// Claims a second.
     pub claims_s: f64,
-    /// Writes of the store for a claim.
+    /// Store writes per claim.
     pub writes_per_claim: f64,
     /// Milliseconds of a claimed call at the median.
     pub claimed_ms_p50: f64,
@@ -138,6 +138,8 @@
     if claimed {
         call = call.header("idempotency-key", id);
     }
-    let sent = pool.whole(router, &call, ANSWER_BYTES, CALL_TIME).await;
+    let sent = pool
+        .whole(router, &call, ANSWER_BYTES_MAX, CALL_TIMEOUT)
+        .await;
     sent.is_ok_and(|answer| answer.status == 200)
 }
--- a/crates/load/src/commands/control.rs
+++ b/crates/load/src/commands/control.rs
@@ -1,4 +1,4 @@
-//! `tidepier-load control`: what control costs each box.
+//! `tidepier-load control`: the cost of control traffic for each box.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
     seconds: u64,
 }
 
-/// What control cost a box on average.
+/// The average cost of control traffic for a box.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Cost {
     /// Boxes watched.
@@ -32,7 +32,7 @@
     /// Bytes a second sent by a box, by purpose; for calls by HTTP, those of
     /// the answer too.
     pub bytes_s: BTreeMap<String, f64>,
-    /// All of them.
+    /// The sum over all purposes.
     pub bytes_s_total: f64,
     /// Messages a second sent by a box on links.
     pub messages_s: f64,
--- a/crates/load/src/commands/decide.rs
+++ b/crates/load/src/commands/decide.rs
@@ -1,4 +1,5 @@
-//! `tidepier-load decide`: what the keeper's decision costs, called directly.
+//! `tidepier-load decide`: the time that a keeper takes for a decision, called
+//! directly.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,14 +10,14 @@
 use tidepier_ids as ids;
 use tidepier_placement::{Ask, Ended, Pool, Ticket, Verdict};
 
-/// Decisions of each part.
+/// Decisions in each measurement.
 const DECISIONS: u32 = 20_000;
 
 /// Measures a keeper's decisions.
 #[derive(clap::Args)]
 pub struct Command {}
 
-/// Microseconds of one decision with the giving back of its place.
+/// Microseconds for one decision and the release of its place.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct Line {
     /// By engines of the pool, with 10 accounts.
--- a/crates/load/src/commands/latency.rs
+++ b/crates/load/src/commands/latency.rs
@@ -1,5 +1,5 @@
-//! `tidepier-load latency`: what a router adds, against its engine called
-//! directly in the same run.
+//! `tidepier-load latency`: the latency that a router adds, compared with direct
+//! calls of the engine in the same run.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,7 +22,7 @@
 const LONG_TOKENS: u64 = 104;
 /// Streams held open for the memory part.
 const STREAMS: usize = 1000;
-/// Tokens of a held stream: it lasts for some seconds.
+/// Tokens of a stream that is held open, which lasts for some seconds.
 const STREAM_TOKENS: u64 = 600;
 
 /// Measures latency, throughput for a core, and memory of one router.
@@ -85,7 +85,8 @@
         let (requests_s, per_core) = self.throughput(&pool, SHORT_TOKENS).await?;
         let (_, long) = self.throughput(&pool, LONG_TOKENS).await?;
         let rss = self.memory(&pool).await?;
-        // A request's own cost taken off, the rest is that of its tokens.
+        // Without the cost of the request itself, the rest is the cost of its
+        // tokens.
         let tokens = (LONG_TOKENS - SHORT_TOKENS) as f64 / (1.0 / long - 1.0 / per_core);
         let (direct, routed) = (quantiles(&direct), quantiles(&routed));
         Ok(Line {
@@ -116,7 +117,8 @@
         }
     }
 
-    /// Alternates direct and routed calls, so that both meet the same machine.
+    /// Alternates direct and routed calls, so that the load of the machine affects
+    /// both alike.
     async fn latency(&self, pool: &Pool) -> eyre::Result<(Histogram<u64>, Histogram<u64>)> {
         let mut direct = Histogram::new_with_max(HIGHEST_US, 3)?;
         let mut routed = Histogram::new_with_max(HIGHEST_US, 3)?;
@@ -198,7 +200,7 @@
         bail!("{address} sent no token");
     };
     let first = began.elapsed();
-    // The rest is read so that the connection can be used again.
+    // Reads the rest, so that the connection can be reused.
     while reader.next().await?.is_some() {}
     Ok(first)
 }
--- a/crates/load/src/commands/report.rs
+++ b/crates/load/src/commands/report.rs
@@ -1,4 +1,4 @@
-//! `tidepier-load report`: puts the files of a measure together into its line.
+//! `tidepier-load report`: combines the files of a measure into its JSON line.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -14,13 +14,13 @@
 use super::run::Phases;
 use crate::tally::Summary;
 
-/// Policies, the first being ours.
+/// Policies; the first is the router's own, the others are compared with it.
 const POLICIES: [&str; 4] = ["tidepier", "random", "least_loaded", "hash"];
 /// Seeds of each measure.
 const SEEDS: [u32; 3] = [1, 2, 3];
 /// Boxes of the target.
 const TARGET_BOXES: f64 = 350.0;
-/// Requests a second of a box at the target.
+/// Requests per second and box at the target.
 const TARGET_REQUESTS: f64 = 20.0;
 /// Engines at the target.
 const TARGET_ENGINES: f64 = 900.0;
@@ -230,7 +230,7 @@
         let claims: Claims = self.read("claims")?;
         let decide: Decisions = self.read("decide")?;
         let largest = &costs[costs.len() - 1];
-        // Probes grow with the engines for each box; 6 boxes were measured.
+        // Probes increase with the number of engines per box; 6 boxes were measured.
         let points = [12.0, 80.0, 160.0].map(|count| {
             let cost = self.read::<Cost>(&format!("engines-{count}"));
             let probes = cost.map(|cost| cost.bytes_s.get("probe").copied().unwrap_or(0.0));
--- a/crates/load/src/commands/run.rs
+++ b/crates/load/src/commands/run.rs
@@ -78,10 +78,10 @@
     pub repeated: f64,
 }
 
-/// Time that an engine that is replaced is away.
-const REPLACED: Duration = Duration::from_millis(1500);
-/// Time that an outage lasts.
-const OUTAGE: Duration = Duration::from_secs(10);
+/// Time for which an engine is down while it is replaced.
+const REPLACEMENT_DURATION: Duration = Duration::from_millis(1500);
+/// Duration of an outage.
+const OUTAGE_DURATION: Duration = Duration::from_secs(10);
 
 impl Command {
     /// Runs the load and prints one JSON line.
@@ -120,7 +120,7 @@
         if let Some(event) = self.then {
             let before = self.repeated().await?;
             let until = Instant::now() + Duration::from_secs(self.seconds);
-            phases.loud = self.happen(event, &load, &outside, until).await?;
+            phases.loud = self.run_event(event, &load, &outside, until).await?;
             Timer::at(until).await;
             let (then, _) = phase(&load, &outside, started).await?;
             let repeated = self.repeated().await? - before;
@@ -136,7 +136,7 @@
         Ok(sums.values().sum())
     }
 
-    async fn happen(
+    async fn run_event(
         &self,
         event: Event,
         load: &Workload,
@@ -173,7 +173,8 @@
             }
         }
         Timer::after(step).await;
-        // Engines are named by turns over three halls.
+        // The engines are spread over three halls in turn, in the order of their
+        // names.
         let hall: Vec<_> = self.engines.iter().skip(2).step_by(3).collect();
         for engine in &hall {
             load.killed(engine);
@@ -189,7 +190,7 @@
     async fn replace(&self, load: &Workload, outside: &Outside, engine: &str) -> eyre::Result<()> {
         load.killed(engine);
         outside.switch("kill", &format!("engine/{engine}")).await?;
-        Timer::after(REPLACED).await;
+        Timer::after(REPLACEMENT_DURATION).await;
         outside.switch("start", &format!("engine/{engine}")).await
     }
 
@@ -198,7 +199,7 @@
             load.killed(engine);
             outside.switch("kill", &format!("engine/{engine}")).await?;
         }
-        Timer::after(OUTAGE).await;
+        Timer::after(OUTAGE_DURATION).await;
         for engine in &self.engines {
             outside.switch("start", &format!("engine/{engine}")).await?;
         }
@@ -206,7 +207,7 @@
     }
 }
 
-/// The summary of a phase with what the engines saw, and the engines' count of
+/// The summary of a phase with the engines' measurements, and the engines' count of
 /// requests at its end.
 async fn phase(load: &Workload, outside: &Outside, before: u64) -> eyre::Result<(Summary, u64)> {
     let mut summary = load.take()?;
--- a/crates/load/src/fleet.rs
+++ b/crates/load/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Makes whole fleets for examples, tests and measurement: the document, the
-//! settings of each box, and those of the stand-ins.
+//! Generates the files of a fleet for examples, tests and measurement: the
+//! document, the settings of each box, and those of the stand-ins.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -15,7 +15,7 @@
 use tidepier_standin::Settings as Outside;
 use tidepier_store::boxes::{Entry, State as BoxState};
 
-/// The operators' key of made fleets.
+/// The operator key of generated fleets.
 pub const OPERATOR_KEY: &str = "operator-example-key";
 
 /// Which user a made fleet is for.
@@ -60,7 +60,7 @@
     serde_json::from_value(serde_json::Value::String(text.into())).map_err(|e| e.to_string())
 }
 
-/// A made fleet.
+/// A generated fleet.
 #[derive(Debug, Clone)]
 pub struct Fleet {
     /// The fleet document.
@@ -120,7 +120,7 @@
     ],
 };
 
-/// The bearer key of an account of a made fleet.
+/// The bearer key of an account of a generated fleet.
 pub fn key_of(account: &str) -> String {
     format!("{account}-example-key")
 }
@@ -133,7 +133,8 @@
 }
 
 fn secret(seed: u64) -> Secret {
-    // Examples must be the same each time; real keys come from `tidepier keys`.
+    // From a fixed seed, so that examples are the same each time; real keys come
+    // from `tidepier keys`.
     let mut bytes = [0; 32];
     ChaCha8Rng::seed_from_u64(seed).fill_bytes(&mut bytes);
     Secret::new(bytes)
@@ -144,7 +145,7 @@
 }
 
 impl Fleet {
-    /// Makes a fleet of a size.
+    /// Generates a fleet of the given size.
     pub fn new(size: &Size) -> Self {
         let names = match size.user {
             User::Safi => &SAFI,
@@ -161,7 +162,7 @@
         }
     }
 
-    /// Where callers connect.
+    /// Addresses to which callers connect.
     pub fn routers(&self) -> Vec<SocketAddr> {
         self.boxes
             .iter()
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,8 +1,8 @@
 //! The load and experiment tool.
 //!
-//! It plays callers whose right answers it knows in advance
-//! ([`tidepier_standin::oracle`]), checks every token, and ends each run with
-//! one JSON line.
+//! It sends requests as clients do. It knows the expected answers in advance
+//! ([`tidepier_standin::oracle`]), checks every token, and prints one JSON line
+//! at the end of each run.
 
 pub mod caller;
 pub mod chats;
--- a/crates/load/src/outside.rs
+++ b/crates/load/src/outside.rs
@@ -1,5 +1,4 @@
-//! The stand-ins' admin port and the routers' counters, as the load tool uses
-//! them.
+//! Clients of the stand-ins' admin port and of the routers' metrics.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,25 +12,25 @@
 use tidepier_standin::group::Measured;
 
 /// Largest answer in bytes.
-const ANSWER_BYTES: u64 = 16 << 20;
-/// Time for one call.
-const CALL_TIME: Duration = Duration::from_secs(5);
+const ANSWER_BYTES_MAX: u64 = 16 << 20;
+/// Time-out of one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The stand-ins.
+/// A client of the stand-ins' admin port.
 #[derive(Clone)]
 pub struct Outside {
     pool: Pool,
     admin: SocketAddr,
 }
 
-/// What a group of engines saw.
+/// Measurements of a group of engines.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Seen {
     /// What was measured.
     pub seen: Measured,
 }
 
-/// What the stand-ins saw since they were last asked.
+/// Measurements of the stand-ins since the last report.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Report {
     /// All engines of each model.
@@ -45,7 +44,7 @@
 }
 
 impl Outside {
-    /// The stand-ins whose admin port is at `admin`.
+    /// A client of the stand-ins whose admin port is at `admin`.
     pub fn new(admin: SocketAddr) -> Self {
         Self {
             pool: Pool::new(),
@@ -53,7 +52,7 @@
         }
     }
 
-    /// What was seen since the last call.
+    /// The measurements since the last call.
     ///
     /// # Errors
     ///
@@ -62,7 +61,7 @@
         let call = Call::get("/measured");
         let answer = self
             .pool
-            .whole(self.admin, &call, ANSWER_BYTES, CALL_TIME)
+            .whole(self.admin, &call, ANSWER_BYTES_MAX, CALL_TIMEOUT)
             .await?;
         Ok(serde_json::from_slice(&answer.bytes)?)
     }
@@ -91,7 +90,7 @@
     async fn send(&self, call: &Call) -> eyre::Result<()> {
         let answer = self
             .pool
-            .whole(self.admin, call, ANSWER_BYTES, CALL_TIME)
+            .whole(self.admin, call, ANSWER_BYTES_MAX, CALL_TIMEOUT)
             .await?;
         match answer.status {
             200 => Ok(()),
@@ -115,7 +114,12 @@
     let mut sums = std::collections::BTreeMap::new();
     for admin in admins {
         let answer = pool
-            .whole(*admin, &Call::get("/metrics"), ANSWER_BYTES, CALL_TIME)
+            .whole(
+                *admin,
+                &Call::get("/metrics"),
+                ANSWER_BYTES_MAX,
+                CALL_TIMEOUT,
+            )
             .await?;
         let text = String::from_utf8_lossy(&answer.bytes);
         for line in text.lines().filter(|line| line.starts_with(name)) {
--- a/crates/load/src/process.rs
+++ b/crates/load/src/process.rs
@@ -9,7 +9,8 @@
 /// Processor time that a process has used.
 pub fn cpu(pid: u32) -> Option<Duration> {
     let text = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // Fields after the name, which may hold spaces, in parentheses.
+    // Skips the process name, which stands in parentheses and may contain
+    // spaces.
     let (_, rest) = text.rsplit_once(')')?;
     let fields: Vec<&str> = rest.split_whitespace().collect();
     let user: u64 = fields.get(11)?.parse().ok()?;
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -1,4 +1,4 @@
-//! What a run came to.
+//! Counts of the outcomes of a run, and its summary.
 
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
@@ -10,8 +10,8 @@
 
 /// Longest recorded time, in microseconds.
 pub const HIGHEST_US: u64 = 600_000_000;
-/// Troubles kept in words.
-const TROUBLES: usize = 5;
+/// Troubles whose description is kept.
+const TROUBLES_MAX: usize = 5;
 
 /// Quantiles of a time in milliseconds.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
@@ -24,7 +24,7 @@
     pub p99: f64,
 }
 
-/// Max over mean of the engines' load in one-second windows.
+/// Ratio of the greatest to the mean load of the engines in one-second windows.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Skew {
     /// Over all engines of the model: the 99th of the windows.
@@ -33,9 +33,9 @@
     pub model_worst: f64,
     /// Over the engines of a hall: the 99th of the windows.
     pub hall_p99: f64,
-    /// Admissions past the bound.
+    /// Admissions over the bound.
     pub bound_broken: u64,
-    /// Worst load over bound at an admission.
+    /// Greatest ratio of load to bound at an admission.
     pub bound_worst: f64,
     /// Admissions checked.
     pub admissions: u64,
@@ -46,17 +46,17 @@
 pub struct Summary {
     /// Requests made.
     pub requests: u64,
-    /// Answers that were whole and right.
+    /// Answers that were complete and correct.
     pub whole: u64,
     /// Final refusals.
     pub refused: u64,
-    /// Refusals that say that nothing ran.
+    /// Refusals which state that nothing was executed.
     pub refused_not_run: u64,
-    /// Requests that got no final, true answer.
+    /// Requests that got neither a complete, correct answer nor a refusal.
     pub lost: u64,
     /// Tokens that were wrong.
     pub wrong_tokens: u64,
-    /// Times that callers came back through another router.
+    /// Attempts that callers made through another router.
     pub returns: u64,
     /// Requests a second.
     pub rate: f64,
@@ -70,15 +70,15 @@
     pub reuse: f64,
     /// Share of prompt tokens that the best engine had cached.
     pub reuse_best: f64,
-    /// Returning chats that met another engine than last time.
+    /// Returning chats that another engine served than last time.
     pub moves: u64,
-    /// Those of them whose last engine had been killed meanwhile.
+    /// Those of them whose last engine had been killed in the meantime.
     pub moves_needed: u64,
     /// Requests that the engines started.
     pub started: u64,
     /// Skew.
     pub skew: Skew,
-    /// The first troubles, in words.
+    /// Descriptions of the first troubles.
     pub troubles: Vec<String>,
 }
 
@@ -91,19 +91,19 @@
     between: Histogram<u64>,
 }
 
-/// How a returning chat met its engine.
+/// Which engine served a chat, compared with the turn before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Meeting {
+pub enum Placement {
     /// A new chat, or the same engine as last time.
     Same,
-    /// Another engine, though the last one lives.
+    /// Another engine, although the last one was not killed.
     Moved,
     /// Another engine, as the last one was killed.
     Forced,
 }
 
 impl Tally {
-    /// Nothing counted.
+    /// An empty tally.
     ///
     /// # Errors
     ///
@@ -119,7 +119,7 @@
     }
 
     /// Counts one outcome.
-    pub fn count(&mut self, outcome: &Outcome, meeting: Meeting) {
+    pub fn count(&mut self, outcome: &Outcome, placement: Placement) {
         let summary = &mut self.summary;
         summary.requests += 1;
         summary.whole += u64::from(outcome.whole);
@@ -133,12 +133,12 @@
             None if !outcome.whole => summary.lost += 1,
             None => {}
         }
-        if !outcome.whole && summary.troubles.len() < TROUBLES {
+        if !outcome.whole && summary.troubles.len() < TROUBLES_MAX {
             let trouble = format!("{:?} {:?}", outcome.refused, outcome.trouble);
             summary.troubles.push(trouble);
         }
-        summary.moves += u64::from(meeting != Meeting::Same);
-        summary.moves_needed += u64::from(meeting == Meeting::Forced);
+        summary.moves += u64::from(placement != Placement::Same);
+        summary.moves_needed += u64::from(placement == Placement::Forced);
         summary.prompt_tokens += outcome.prompt;
         self.cached += outcome.cached;
         self.best += outcome.best;
@@ -186,7 +186,7 @@
     }
 }
 
-/// The value below which a share of the values lies; 0 without any.
+/// The value at or below which a share of the values lies; 0 without values.
 pub fn quantile(values: &[f64], share: f64) -> f64 {
     let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
--- a/crates/load/src/workload.rs
+++ b/crates/load/src/workload.rs
@@ -1,4 +1,5 @@
-//! Callers at work: chats that return, through all routers, at a set rate.
+//! Simulated clients that send new chats and continue earlier ones, through all
+//! routers, at a set rate.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,10 +11,10 @@
 
 use crate::caller::{self, Outcome};
 use crate::chats::{Maker, Returning, Shape};
-use crate::tally::{Meeting, Summary, Tally};
+use crate::tally::{Placement, Summary, Tally};
 
-/// Longest wait for a `Retry-After`, in seconds: a run must end.
-const RETRY_MOST: u64 = 10;
+/// Longest wait for a `Retry-After`, in seconds, so that a run ends.
+const RETRY_AFTER_MAX: u64 = 10;
 
 /// What callers do.
 #[derive(Debug, Clone, clap::Args)]
@@ -114,7 +115,8 @@
         Ok(tally.summary(took))
     }
 
-    /// Notes that an engine is killed now: chats it served must move.
+    /// Records that an engine is killed now, so that its chats have to move to
+    /// other engines.
     pub fn killed(&self, engine: &str) {
         lock(&self.shared.killed).insert(engine.into(), Instant::now());
     }
@@ -136,15 +138,15 @@
         let began = Instant::now();
         let routers = &shared.plan.routers;
         let outcome = caller::ask(&shared.pool, routers, router, &returning.chat).await;
-        let meeting = meet(&shared, &engine, &outcome, began);
-        lock(&shared.tally).count(&outcome, meeting);
+        let placed = placement(&shared, &engine, &outcome, began);
+        lock(&shared.tally).count(&outcome, placed);
         let wait = outcome
             .refused
             .as_ref()
             .and_then(|refused| refused.retry_after);
         keep(&shared, returning, engine, outcome);
         if let Some(seconds) = wait {
-            Timer::after(Duration::from_secs(seconds.min(RETRY_MOST))).await;
+            Timer::after(Duration::from_secs(seconds.min(RETRY_AFTER_MAX))).await;
         }
     }
 }
@@ -157,22 +159,22 @@
     if !returns {
         return (maker.begin(), String::new(), router);
     }
-    // Recent chats return most.
+    // The smaller of two random numbers: recent chats continue most often.
     let back = maker.below(kept.len()).min(maker.below(kept.len()));
     let index = kept.len() - 1 - back;
     let kept = kept.remove(index);
     (kept.returning, kept.engine, router)
 }
 
-fn meet(shared: &Shared, engine: &str, outcome: &Outcome, began: Instant) -> Meeting {
+fn placement(shared: &Shared, engine: &str, outcome: &Outcome, began: Instant) -> Placement {
     if engine.is_empty() || !outcome.whole || outcome.engine == engine {
-        return Meeting::Same;
+        return Placement::Same;
     }
     let killed = lock(&shared.killed);
     let recently = |at: &Instant| began.saturating_duration_since(*at) < Duration::from_secs(600);
     match killed.get(engine).is_some_and(recently) {
-        true => Meeting::Forced,
-        false => Meeting::Moved,
+        true => Placement::Forced,
+        false => Placement::Moved,
     }
 }
 
@@ -182,7 +184,7 @@
             lock(&shared.maker).grow(&mut returning);
             outcome.engine
         }
-        // A refused chat comes back as it is.
+        // A chat without a complete answer is sent again unchanged.
         false => engine,
     };
     let mut kept = lock(&shared.kept);
