--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -258,7 +258,7 @@
 
     /// Declares suspects of this hall dead that did not refute the suspicion within
     /// `timeout`, and drops boxes that have been dead for
-    /// [`TOMBSTONE_RETENTION`].
+    /// `TOMBSTONE_RETENTION`.
     pub fn expire(&mut self, timeout: Duration, now: Instant) -> Vec<Sight> {
         let hall = self.me().hall.clone();
         let late = |member: &&Member| {
