--- a/crates/claims/src/page.rs
+++ b/crates/claims/src/page.rs
@@ -94,7 +94,7 @@
 
     /// Records `requests` in one write. The verdicts are in their order.
     pub(crate) async fn claim(&mut self, requests: &[Request]) -> Vec<Verdict> {
-        let mut why = String::from("too many conflicting writes of the claim page");
+        let mut why = String::from("too many lost races");
         for _ in 0..ATTEMPTS_MAX {
             if !self.is_read {
                 if let Err(error) = self.read().await {
--- a/crates/claims/src/pages.rs
+++ b/crates/claims/src/pages.rs
@@ -85,8 +85,7 @@
             return Verdict::Failed("too many claims wait for this page".into());
         }
         let verdict = verdict.recv().await;
-        verdict
-            .unwrap_or_else(|_| Verdict::Failed("the task that writes the claim page ended".into()))
+        verdict.unwrap_or_else(|_| Verdict::Failed("the page's task ended".into()))
     }
 
     /// The inbox of a page's task, which is started at the first use.
--- a/crates/placement/src/pool.rs
+++ b/crates/placement/src/pool.rs
@@ -320,7 +320,7 @@
     /// refusal for each: if the box is alive after all, these make it ask again.
     pub fn forsake(&mut self, from: &ids::Box) -> Vec<(Ticket, Verdict)> {
         let of_box = |waiter: &Waiter| waiter.ask.ticket.from == *from;
-        self.refuse_waiting(of_box, "the box was presumed dead")
+        self.refuse_waiting(of_box, "the box was taken for gone")
     }
 
     fn refuse_waiting(
--- a/crates/router/src/dialect/chat.rs
+++ b/crates/router/src/dialect/chat.rs
@@ -207,7 +207,7 @@
     mut sender: events::Sender,
     mut sequence: u64,
 ) -> Result<(), Fault> {
-    let disconnected = |_| Fault::new(Kind::Lost, "the client disconnected");
+    let disconnected = |_| Fault::new(Kind::Lost, "the caller left");
     if api == Api::Responses {
         let created = answer::created_event(&response);
         sender.send("", &created).await.map_err(disconnected)?;
